--- a/deploy/archive.sh
+++ b/deploy/build-class-archive.sh
@@ -7,10 +7,10 @@
 cd "$(dirname "$0")/.."
 # A port of its own for each build, below those that the system gives out: two may be built at once.
 port=$((20000 + $$ % 10000))
-sed "s/127\.0\.0\.1:18093/127.0.0.1:$port/" deploy/archive.json > target/archive.json
+sed "s/127\.0\.0\.1:18093/127.0.0.1:$port/" deploy/class-archive-node.json > target/archive.json
 GW_CONFIG=target/archive.json java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:C1MaxInlineSize=8 \
   -XX:C1MaxInlineLevel=2 -Dio.netty.jfr.enabled=false \
-  -XX:ArchiveClassesAtExit=target/thistlefall.jsa -jar target/thistlefall.jar serve > target/archive.log 2>&1 &
+  -XX:ArchiveClassesAtExit=target/merlinrouter.jsa -jar target/merlinrouter.jar serve > target/archive.log 2>&1 &
 node=$!
 request() {
   exec 3<> /dev/tcp/127.0.0.1/$port || return 1
--- a/src/main/java/thistlefall/Gateway.java
+++ b/src/main/java/merlinrouter/Gateway.java
@@ -1,9 +1,9 @@
-package thistlefall;
+package merlinrouter;
 
 import java.util.*;
 import java.util.stream.*;
 import org.ejml.simple.SimpleMatrix;
-import thistlefall.Ports.*;
+import merlinrouter.Ports.*;
 
 /**
  * All decisions of one gateway: quotas, fair queue, controllers, choice of server, attempts, final answers.
--- a/src/main/java/thistlefall/Ports.java
+++ b/src/main/java/merlinrouter/Ports.java
@@ -1,4 +1,4 @@
-package thistlefall;
+package merlinrouter;
 
 import java.util.List;
 
--- a/src/main/java/thistlefall/SettingsReader.java
+++ b/src/main/java/merlinrouter/SettingsReader.java
@@ -1,17 +1,17 @@
-package thistlefall;
+package merlinrouter;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.Ports.Counter;
-import thistlefall.Ports.Group;
-import thistlefall.Ports.Limits;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Rules;
-import thistlefall.Ports.Settings;
+import merlinrouter.Ports.Counter;
+import merlinrouter.Ports.Group;
+import merlinrouter.Ports.Limits;
+import merlinrouter.Ports.Plan;
+import merlinrouter.Ports.Repeat;
+import merlinrouter.Ports.RequestClass;
+import merlinrouter.Ports.Rules;
+import merlinrouter.Ports.Settings;
 
 /**
  * Turns path=value pairs into {@link Settings}; unknown paths are ignored. The simulator's wire and the real
--- a/src/main/java/thistlefall/node/AcceptThrottle.java
+++ b/src/main/java/merlinrouter/node/AcceptThrottle.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/thistlefall/node/ByteBudget.java
+++ b/src/main/java/merlinrouter/node/ByteBudget.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 /**
  * The bytes that clients' requests may hold over all connections together: each connection's own bound does not
--- a/src/main/java/thistlefall/node/ClientServer.java
+++ b/src/main/java/merlinrouter/node/ClientServer.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -42,9 +42,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.RequestClass;
+import merlinrouter.Ports.Repeat;
+import merlinrouter.Ports.Request;
+import merlinrouter.Ports.RequestClass;
 
 /** The listening side: reads clients' requests, turns away what is none, and writes the answers. */
 final class ClientServer {
--- a/src/main/java/thistlefall/node/Config.java
+++ b/src/main/java/merlinrouter/node/Config.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -12,10 +12,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
-import thistlefall.SettingsReader;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.Server;
+import merlinrouter.Ports.Settings;
+import merlinrouter.SettingsReader;
 
 /**
  * What an edge node is told at its start.
--- a/src/main/java/thistlefall/node/ConfigFile.java
+++ b/src/main/java/merlinrouter/node/ConfigFile.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/thistlefall/node/CounterClient.java
+++ b/src/main/java/merlinrouter/node/CounterClient.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -19,7 +19,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.Outcome;
+import merlinrouter.Ports.Outcome;
 
 /**
  * Calls to the shared counter, written one behind another on a few connections. A name always has the same place
--- a/src/main/java/thistlefall/node/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -28,7 +28,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.ListKind;
+import merlinrouter.Ports.ListKind;
 
 /**
  * Watches the list of app servers, from the last revision heard on. What discovery's agent holds counts as told
--- a/src/main/java/thistlefall/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
@@ -16,14 +16,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
-import thistlefall.Gateway;
-import thistlefall.Ports;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Server;
+import merlinrouter.Gateway;
+import merlinrouter.Ports;
+import merlinrouter.Ports.ListKind;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.RequestClass;
+import merlinrouter.Ports.Result;
+import merlinrouter.Ports.Server;
 
 /**
  * A real edge node: carries what happens on the sockets to the decision module and its actions back. All of it
--- a/src/main/java/thistlefall/node/Figures.java
+++ b/src/main/java/merlinrouter/node/Figures.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 /**
  * Reads figures that a peer wrote. Java's own parser takes more than a peer may mean ({@code 1d}, {@code 0x1p3},
--- a/src/main/java/thistlefall/node/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/InvariantGuard.java
@@ -1,8 +1,8 @@
-package thistlefall.node;
+package merlinrouter.node;
 
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.RequestClass;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Repeat;
+import merlinrouter.Ports.RequestClass;
 
 /**
  * The last check before an attempt begins, a request is repeated or a client's connection is closed. What would break a
--- a/src/main/java/thistlefall/node/Looks.java
+++ b/src/main/java/merlinrouter/node/Looks.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.channel.SelectStrategy;
 import io.netty.util.IntSupplier;
--- a/src/main/java/thistlefall/node/Main.java
+++ b/src/main/java/merlinrouter/node/Main.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.logging.Handler;
 import java.util.logging.Logger;
-import thistlefall.drill.Drill;
+import merlinrouter.simulator.SimulatorAdapter;
 
-/** The program: {@code serve} runs a real edge node, {@code drill} the decisions on the simulator's wire. */
+/** The program: {@code serve} runs a real edge node, {@code simulate} the decisions on the simulator's wire. */
 public final class Main {
     /** How long a start's rehearsal is: so many requests, or so many milliseconds where these take longer. */
     private static final int REHEARSED = 1_000;
@@ -23,8 +23,8 @@
     public static void main(String[] args) {
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> serve(System.getenv("GW_CONFIG"));
-            case "drill" -> Drill.main(args);
-            default -> exit(2, "usage: thistlefall.jar serve|drill");
+            case "simulate" -> SimulatorAdapter.main(args);
+            default -> exit(2, "usage: merlinrouter.jar serve|simulate");
         }
     }
 
--- a/src/main/java/thistlefall/node/NodeLog.java
+++ b/src/main/java/merlinrouter/node/NodeLog.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/thistlefall/node/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/OpenRequest.java
@@ -1,9 +1,9 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
-import thistlefall.Ports.Request;
+import merlinrouter.Ports.Request;
 
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
 final class OpenRequest {
--- a/src/main/java/thistlefall/node/PlainLines.java
+++ b/src/main/java/merlinrouter/node/PlainLines.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
--- a/src/main/java/thistlefall/node/Rehearsal.java
+++ b/src/main/java/merlinrouter/node/Rehearsal.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -34,12 +34,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
+import merlinrouter.Ports.Plan;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.Repeat;
+import merlinrouter.Ports.RequestClass;
+import merlinrouter.Ports.Server;
+import merlinrouter.Ports.Settings;
 
 /**
  * What a node does before it serves: a second node of the same settings, with a module of its own, answers made-up
--- a/src/main/java/thistlefall/node/ServerPool.java
+++ b/src/main/java/merlinrouter/node/ServerPool.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -26,9 +26,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Server;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.Server;
 
 /** Connections to app servers, one request on each at a time, and the attempts on them with their outcomes. */
 final class ServerPool {
--- a/src/main/java/thistlefall/node/ServerStartTimes.java
+++ b/src/main/java/merlinrouter/node/ServerStartTimes.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
--- a/src/main/java/thistlefall/node/TcpServerChannel.java
+++ b/src/main/java/merlinrouter/node/TcpServerChannel.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.nio.channels.SocketChannel;
--- a/src/main/java/thistlefall/node/Transport.java
+++ b/src/main/java/merlinrouter/node/Transport.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/thistlefall/drill/MalformedInput.java
+++ b/src/main/java/merlinrouter/simulator/MalformedInput.java
@@ -1,4 +1,4 @@
-package thistlefall.drill;
+package merlinrouter.simulator;
 
 /** Input that is not of the wire; the message names the line and what is wrong with it. */
 final class MalformedInput extends Exception {
--- a/src/main/java/thistlefall/drill/Drill.java
+++ b/src/main/java/merlinrouter/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package thistlefall.drill;
+package merlinrouter.simulator;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -8,14 +8,14 @@
 import java.nio.charset.StandardCharsets;
 
 /** The adapter's entry point: plays many gateways on the simulator's wire until its input ends. */
-public final class Drill {
-    private Drill() {
+public final class SimulatorAdapter {
+    private SimulatorAdapter() {
     }
 
-    /** Runs the drill; the only argument is the word {@code drill}. */
+    /** Runs the adapter; the only argument is the word {@code simulate}. */
     public static void main(String[] args) {
-        if (args.length != 1 || !args[0].equals("drill")) {
-            System.err.println("usage: thistlefall.jar drill");
+        if (args.length != 1 || !args[0].equals("simulate")) {
+            System.err.println("usage: merlinrouter.jar simulate");
             System.exit(2);
         }
         var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
--- a/src/main/java/thistlefall/drill/WireReader.java
+++ b/src/main/java/merlinrouter/simulator/WireReader.java
@@ -1,4 +1,4 @@
-package thistlefall.drill;
+package merlinrouter.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -6,14 +6,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.Gateway;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Server;
-import thistlefall.SettingsReader;
+import merlinrouter.Gateway;
+import merlinrouter.Ports.ListKind;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.Request;
+import merlinrouter.Ports.Result;
+import merlinrouter.Ports.Server;
+import merlinrouter.SettingsReader;
 
 /** Reads batches of the wire, hands each event to the gateway concerned and has the reply written. */
 final class WireReader {
--- a/src/main/java/thistlefall/drill/WireWriter.java
+++ b/src/main/java/merlinrouter/simulator/WireWriter.java
@@ -1,8 +1,8 @@
-package thistlefall.drill;
+package merlinrouter.simulator;
 
 import java.io.IOException;
 import java.io.Writer;
-import thistlefall.Ports.Actions;
+import merlinrouter.Ports.Actions;
 
 /** Writes actions as lines of the wire. */
 final class WireWriter {
--- a/src/test/java/thistlefall/Host.java
+++ b/src/test/java/merlinrouter/Host.java
@@ -1,24 +1,24 @@
-package thistlefall;
+package merlinrouter;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import thistlefall.Ports.Actions;
-import thistlefall.Ports.Counter;
-import thistlefall.Ports.Group;
-import thistlefall.Ports.Limits;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Rules;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
+import merlinrouter.Ports.Actions;
+import merlinrouter.Ports.Counter;
+import merlinrouter.Ports.Group;
+import merlinrouter.Ports.Limits;
+import merlinrouter.Ports.ListKind;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Plan;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.Repeat;
+import merlinrouter.Ports.Request;
+import merlinrouter.Ports.RequestClass;
+import merlinrouter.Ports.Result;
+import merlinrouter.Ports.Rules;
+import merlinrouter.Ports.Server;
+import merlinrouter.Ports.Settings;
 
 /** A host under the test's control: writes down what one gateway asks for and calls its events. */
 final class Host implements Actions {
--- a/src/test/java/thistlefall/MechanismTest.java
+++ b/src/test/java/merlinrouter/MechanismTest.java
@@ -1,10 +1,10 @@
-package thistlefall;
+package merlinrouter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thistlefall.Host.MS;
-import static thistlefall.Host.SAFE;
-import static thistlefall.Host.UNSAFE;
+import static merlinrouter.Host.MS;
+import static merlinrouter.Host.SAFE;
+import static merlinrouter.Host.UNSAFE;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,9 +16,9 @@
 import java.util.SplittableRandom;
 import org.ejml.simple.SimpleMatrix;
 import org.junit.jupiter.api.Test;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Plan;
+import merlinrouter.Ports.Readiness;
 
 /** The laws and the counter rule on their own terms. */
 class MechanismTest {
--- a/src/test/java/thistlefall/RulesTest.java
+++ b/src/test/java/merlinrouter/RulesTest.java
@@ -1,14 +1,14 @@
-package thistlefall;
+package merlinrouter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thistlefall.Host.KEYED_ALL;
-import static thistlefall.Host.KEYED_CELL;
-import static thistlefall.Host.MS;
-import static thistlefall.Host.SAFE;
-import static thistlefall.Host.UNSAFE;
+import static merlinrouter.Host.KEYED_ALL;
+import static merlinrouter.Host.KEYED_CELL;
+import static merlinrouter.Host.MS;
+import static merlinrouter.Host.SAFE;
+import static merlinrouter.Host.UNSAFE;
 
 import java.util.HashMap;
 import java.util.List;
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
+import merlinrouter.Ports.ListKind;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Plan;
+import merlinrouter.Ports.Readiness;
 
 /** The five rules at their edges. */
 class RulesTest {
--- a/src/test/java/thistlefall/SizeTest.java
+++ b/src/test/java/merlinrouter/SizeTest.java
@@ -1,4 +1,4 @@
-package thistlefall;
+package merlinrouter;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,7 +12,7 @@
 class SizeTest {
     @Test
     void moduleStaysWithin1000LinesOf110Columns() throws IOException {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/thistlefall/Gateway.java"));
+        List<String> lines = Files.readAllLines(Path.of("src/main/java/merlinrouter/Gateway.java"));
         long filled = lines.stream().filter(line -> !line.isBlank()).count();
         assertTrue(filled > 0 && filled <= 1000, "lines that are not blank: " + filled);
         for (String line : lines) {
--- a/src/test/java/thistlefall/SlowStartTest.java
+++ b/src/test/java/merlinrouter/SlowStartTest.java
@@ -1,9 +1,9 @@
-package thistlefall;
+package merlinrouter;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thistlefall.Host.FREE;
-import static thistlefall.Host.MS;
-import static thistlefall.Host.SAFE;
+import static merlinrouter.Host.FREE;
+import static merlinrouter.Host.MS;
+import static merlinrouter.Host.SAFE;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Result;
+import merlinrouter.Ports.Outcome;
+import merlinrouter.Ports.Readiness;
+import merlinrouter.Ports.Result;
 
 /**
  * Slow start is budgeted for the fleet: a cold server falls under the sum of what all gateways send, each of which
--- a/src/test/java/thistlefall/node/CrossingTest.java
+++ b/src/test/java/merlinrouter/node/CrossingTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,7 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import thistlefall.Ports.Request;
+import merlinrouter.Ports.Request;
 
 /**
  * Two events that cross, forced by their order: a script that waits for its word, a listening socket whose line is
--- a/src/test/java/thistlefall/node/DeployTest.java
+++ b/src/test/java/merlinrouter/node/DeployTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -33,7 +33,7 @@
         String line = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
             .filter(l -> l.startsWith("run = ")).findFirst().orElseThrow();
         String command = line.substring("run = \"".length(), line.length() - 1);
-        String onClasses = command.replace("-jar target/thistlefall.jar", "-cp \"$CLASSES\" thistlefall.node.Main")
+        String onClasses = command.replace("-jar target/merlinrouter.jar", "-cp \"$CLASSES\" merlinrouter.node.Main")
             .replaceFirst(" -XX:SharedArchiveFile=\\S+", "");
         assertTrue(onClasses.contains("$CLASSES") && onClasses.startsWith("exec "), command);
         return onClasses;
--- a/src/test/java/thistlefall/node/EdgeNodeTest.java
+++ b/src/test/java/merlinrouter/node/EdgeNodeTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/thistlefall/node/Peer.java
+++ b/src/test/java/merlinrouter/node/Peer.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/thistlefall/node/RehearsalTest.java
+++ b/src/test/java/merlinrouter/node/RehearsalTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -52,7 +52,7 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-cp", System.getProperty("java.class.path"), "thistlefall.node.Main", "serve").redirectErrorStream(true);
+            "-cp", System.getProperty("java.class.path"), "merlinrouter.node.Main", "serve").redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
         Process process = builder.start();
--- a/src/test/java/thistlefall/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package merlinrouter.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -61,7 +61,7 @@
         String config = config();
         Files.writeString(file, config);
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-cp", System.getProperty("java.class.path"), "thistlefall.node.Main", "serve").redirectErrorStream(true);
+            "-cp", System.getProperty("java.class.path"), "merlinrouter.node.Main", "serve").redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", file.toString());
         Process process = builder.start();
         toClose.add(process::destroyForcibly);
--- a/src/test/java/thistlefall/DrillTest.java
+++ b/src/test/java/merlinrouter/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package thistlefall;
+package merlinrouter.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter as a process: framing, absent values, and plain words on malformed input. */
-class DrillTest {
+class SimulatorAdapterTest {
     private record Run(int exit, String out, String err) {
     }
 
     private static Run play(String input) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(System.getProperty("java.home") + File.separator + "bin"
-            + File.separator + "java", "-cp", System.getProperty("java.class.path"), "thistlefall.drill.Drill",
-            "drill").start();
+            + File.separator + "java", "-cp", System.getProperty("java.class.path"), "merlinrouter.simulator.SimulatorAdapter",
+            "simulate").start();
         try (var in = process.getOutputStream()) {
             in.write(input.getBytes(StandardCharsets.UTF_8));
         }
