--- a/emulator/src/main/java/merlinrouter/emulator/Main.java
+++ b/emulator/src/main/java/merlinrouter/emulator/Main.java
@@ -4,14 +4,16 @@
 import picocli.CommandLine.Command;
 
 /** The emulator's command line. */
-@Command(name = "emulator", mixinStandardHelpOptions = true, subcommands = SoakCommand.class,
+@Command(
+    name = "emulator",
+    mixinStandardHelpOptions = true,
+    subcommands = SoakCommand.class,
     description = "Runs real edge nodes between stand-ins on loopback, with faults.")
 public final class Main {
-    private Main() {
-    }
+  private Main() {}
 
-    /** Runs a command: 0 if it passed, 1 if it found a violation, 2 for a bad command line. */
-    public static void main(String[] args) {
-        System.exit(new CommandLine(new Main()).execute(args));
-    }
+  /** Runs a command: 0 if it passed, 1 if it found a violation, 2 for a bad command line. */
+  public static void main(String[] args) {
+    System.exit(new CommandLine(new Main()).execute(args));
+  }
 }
--- a/src/main/java/merlinrouter/node/ByteBudget.java
+++ b/src/main/java/merlinrouter/node/ByteBudget.java
@@ -1,32 +1,33 @@
 package merlinrouter.node;
 
 /**
- * The bytes that clients' requests may hold over all connections together: each connection's own bound does not
- * keep a thousand of them from outgrowing the memory.
+ * The bytes that clients' requests may hold over all connections together: each connection's own
+ * bound does not keep a thousand of them from outgrowing the memory.
  */
 final class ByteBudget {
-    /** Usual requests are small. They have the last quarter to themselves. */
-    private static final int SMALL = 4 * 1024;
-    private static final long LEAST = 1L << 20, MOST = 8L << 20;
+  /** Usual requests are small. They have the last quarter to themselves. */
+  private static final int SMALL = 4 * 1024;
 
-    private final long most;
-    private long used;
+  private static final long LEAST = 1L << 20, MOST = 8L << 20;
 
-    /** A sixteenth of the memory, within bounds. */
-    ByteBudget(long memory) {
-        most = Math.max(LEAST, Math.min(MOST, memory / 16));
-    }
+  private final long most;
+  private long used;
 
-    /** Whether a request that holds, or will hold, so much may go on growing. */
-    boolean allows(long size) {
-        return used < (size > SMALL ? most / 4 * 3 : most);
-    }
+  /** A sixteenth of the memory, within bounds. */
+  ByteBudget(long memory) {
+    most = Math.max(LEAST, Math.min(MOST, memory / 16));
+  }
 
-    void change(long by) {
-        used += by;
-    }
+  /** Whether a request that holds, or will hold, so much may go on growing. */
+  boolean allows(long size) {
+    return used < (size > SMALL ? most / 4 * 3 : most);
+  }
 
-    long used() {
-        return used;
-    }
+  void change(long by) {
+    used += by;
+  }
+
+  long used() {
+    return used;
+  }
 }
--- a/src/main/java/merlinrouter/node/ClientServer.java
+++ b/src/main/java/merlinrouter/node/ClientServer.java
@@ -48,613 +48,675 @@
 
 /** The listening side: reads clients' requests, turns away what is none, and writes the answers. */
 final class ClientServer {
-    private static final long MAX_CUSTOMER = 1L << 33;
-    private static final int CUSTOMER_DIGITS = 16, MOST_DIGITS = 15;
-    private static final int BACKLOG = 512, MOST_NAME = 128;
-    /** How much of one read, and how much that came ahead of its turn, a connection holds. */
-    private static final int READ = 8 * 1024, MOST_AHEAD = 4 * ServerPool.MOST_BODY;
-    /**
-     * For how long a client that has sent more than that ahead is taken to be still there: no attempt is to begin
-     * 0.1 s after its client left, and behind so much its leaving can't be seen. A fifth is for the way out.
-     */
-    private static final long UNSEEN = 80_000_000L;
-    /**
-     * How long a whole request may take, from the connect or, on a connection that has asked before, from its
-     * first byte; how long a connection may stand idle; and how often this is looked at.
-     */
-    private static final long MS = 1_000_000L, WHOLE = 2_500 * MS, IDLE = 2_000 * MS, SWEEP = 250 * MS;
-
-    /** Behind a failed accept a drain looks again after so long, which is longer than that pauses. */
-    private static final long LAST_LOOK = 20 * MS;
-
-    /** A bind that fails is tried again after so long, and for so long: a restart is owed in 10 s. */
-    private static final long BIND_PAUSE = 50 * MS, BIND_PATIENCE = 3_000 * MS;
-
-    private final EdgeNode node;
-    private final EventLoop loop;
-    private final Config config;
-    private final ByteBudget budget;
-    private final Set<Session> sessions = new LinkedHashSet<>();
-    private final int most, mostKept;
-    private AcceptThrottle acceptThrottle;
-    private Channel listening;
-    private long bindBegun;
-    private boolean draining;
-    private CompletableFuture<Void> drained;
-
-    ClientServer(EdgeNode node, EventLoop loop, Config config, ByteBudget budget) {
-        this.node = node;
-        this.budget = budget;
-        this.loop = loop;
-        this.config = config;
-        // Half of the descriptors; app servers have three eighths, the rest is the process's own.
-        most = Math.max(8, config.sockets() / 2);
-        mostKept = Math.max(4, config.sockets() / 6);
-        loop.scheduleAtFixedRate(() -> List.copyOf(sessions).forEach(Session::limit), SWEEP, SWEEP,
-            TimeUnit.NANOSECONDS);
-    }
-
-    /** Completes when clients can connect; never where the node was told to end before that. */
-    CompletableFuture<Void> bind() {
-        CompletableFuture<Void> bound = new CompletableFuture<>();
-        loop.execute(() -> {
-            bindBegun = System.nanoTime();
-            if (!draining) {
-                bind(bound);
-            }
+  private static final long MAX_CUSTOMER = 1L << 33;
+  private static final int CUSTOMER_DIGITS = 16, MOST_DIGITS = 15;
+  private static final int BACKLOG = 512, MOST_NAME = 128;
+
+  /** How much of one read, and how much that came ahead of its turn, a connection holds. */
+  private static final int READ = 8 * 1024, MOST_AHEAD = 4 * ServerPool.MOST_BODY;
+
+  /**
+   * For how long a client that has sent more than that ahead is taken to be still there: no attempt
+   * is to begin 0.1 s after its client left, and behind so much its leaving can't be seen. A fifth
+   * is for the way out.
+   */
+  private static final long UNSEEN = 80_000_000L;
+
+  /**
+   * How long a whole request may take, from the connect or, on a connection that has asked before,
+   * from its first byte; how long a connection may stand idle; and how often this is looked at.
+   */
+  private static final long MS = 1_000_000L,
+      WHOLE = 2_500 * MS,
+      IDLE = 2_000 * MS,
+      SWEEP = 250 * MS;
+
+  /** Behind a failed accept a drain looks again after so long, which is longer than that pauses. */
+  private static final long LAST_LOOK = 20 * MS;
+
+  /** A bind that fails is tried again after so long, and for so long: a restart is owed in 10 s. */
+  private static final long BIND_PAUSE = 50 * MS, BIND_PATIENCE = 3_000 * MS;
+
+  private final EdgeNode node;
+  private final EventLoop loop;
+  private final Config config;
+  private final ByteBudget budget;
+  private final Set<Session> sessions = new LinkedHashSet<>();
+  private final int most, mostKept;
+  private AcceptThrottle acceptThrottle;
+  private Channel listening;
+  private long bindBegun;
+  private boolean draining;
+  private CompletableFuture<Void> drained;
+
+  ClientServer(EdgeNode node, EventLoop loop, Config config, ByteBudget budget) {
+    this.node = node;
+    this.budget = budget;
+    this.loop = loop;
+    this.config = config;
+    // Half of the descriptors; app servers have three eighths, the rest is the process's own.
+    most = Math.max(8, config.sockets() / 2);
+    mostKept = Math.max(4, config.sockets() / 6);
+    loop.scheduleAtFixedRate(
+        () -> List.copyOf(sessions).forEach(Session::limit), SWEEP, SWEEP, TimeUnit.NANOSECONDS);
+  }
+
+  /** Completes when clients can connect; never where the node was told to end before that. */
+  CompletableFuture<Void> bind() {
+    CompletableFuture<Void> bound = new CompletableFuture<>();
+    loop.execute(
+        () -> {
+          bindBegun = System.nanoTime();
+          if (!draining) {
+            bind(bound);
+          }
         });
-        return bound;
-    }
-
-    private void bind(CompletableFuture<Void> bound) {
-        acceptThrottle = new AcceptThrottle(node.log(), node::lookedBefore);
-        Transport.listening(loop, config.listen()).option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, READ))
-            .handler(acceptThrottle)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    Session session = new Session(channel);
-                    channel.pipeline().addLast(session.decoder, new HttpResponseEncoder(), session);
-                }
+    return bound;
+  }
+
+  private void bind(CompletableFuture<Void> bound) {
+    acceptThrottle = new AcceptThrottle(node.log(), node::lookedBefore);
+    Transport.listening(loop, config.listen())
+        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .childOption(
+            ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, READ))
+        .handler(acceptThrottle)
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                Session session = new Session(channel);
+                channel.pipeline().addLast(session.decoder, new HttpResponseEncoder(), session);
+              }
             })
-            // Where the process could make no socket the future is told on a thread of the library's.
-            .bind(config.listen()).addListener((ChannelFutureListener) done -> loop.execute(() -> bindEnded(done, bound)));
-    }
-
-    private void bindEnded(ChannelFuture done, CompletableFuture<Void> bound) {
-        if (done.isSuccess()) {
-            listening = done.channel();
-            bound.complete(null);
-        } else if (System.nanoTime() - bindBegun > BIND_PATIENCE) {
-            bound.completeExceptionally(done.cause());
-        } else {
-            // The process before this one may hold the address for a moment, or the system be short of something.
-            loop.schedule(() -> {
-                if (!draining) {
-                    bind(bound);
-                }
-            }, BIND_PAUSE, TimeUnit.NANOSECONDS);
-        }
-    }
-
-    SocketAddress address() {
-        return listening.localAddress();
+        // Where the process could make no socket the future is told on a thread of the library's.
+        .bind(config.listen())
+        .addListener((ChannelFutureListener) done -> loop.execute(() -> bindEnded(done, bound)));
+  }
+
+  private void bindEnded(ChannelFuture done, CompletableFuture<Void> bound) {
+    if (done.isSuccess()) {
+      listening = done.channel();
+      bound.complete(null);
+    } else if (System.nanoTime() - bindBegun > BIND_PATIENCE) {
+      bound.completeExceptionally(done.cause());
+    } else {
+      // The process before this one may hold the address for a moment, or the system be short of
+      // something.
+      loop.schedule(
+          () -> {
+            if (!draining) {
+              bind(bound);
+            }
+          },
+          BIND_PAUSE,
+          TimeUnit.NANOSECONDS);
     }
-
-    /** From now on each connection ends with its next answer. Returns whether there may be any. */
-    boolean closeAfterAnswers() {
-        draining = true;
-        if (listening != null) {
-            // All who wait are let in at the last look: it takes a part of them only, for the sake of the others.
-            MaxMessagesRecvByteBufAllocator look = listening.config().getRecvByteBufAllocator();
-            look.maxMessagesPerRead(BACKLOG);
-        }
-        return listening != null;
+  }
+
+  SocketAddress address() {
+    return listening.localAddress();
+  }
+
+  /** From now on each connection ends with its next answer. Returns whether there may be any. */
+  boolean closeAfterAnswers() {
+    draining = true;
+    if (listening != null) {
+      // All who wait are let in at the last look: it takes a part of them only, for the sake of the
+      // others.
+      MaxMessagesRecvByteBufAllocator look = listening.config().getRecvByteBufAllocator();
+      look.maxMessagesPerRead(BACKLOG);
     }
-
-    /** Nobody comes any more: the listening socket and the connections between requests go. */
-    void stopAccepting(CompletableFuture<Void> done) {
-        if (listening != null && acceptThrottle.isFailing()) {
-            // Who has connected and could not be accepted yet would be reset with the listening socket.
-            loop.schedule(() -> loop.schedule(() -> stopAccepting(done), 0, TimeUnit.NANOSECONDS), LAST_LOOK,
-                TimeUnit.NANOSECONDS);
-            return;
-        }
-        drained = done;
-        if (listening != null) {
-            listening.close();
-        }
-        for (Session session : List.copyOf(sessions)) {
-            if (session.isBetween()) {
-                session.end("at the end of a drain");
-            }
-        }
-        finishDrain();
+    return listening != null;
+  }
+
+  /** Nobody comes any more: the listening socket and the connections between requests go. */
+  void stopAccepting(CompletableFuture<Void> done) {
+    if (listening != null && acceptThrottle.isFailing()) {
+      // Who has connected and could not be accepted yet would be reset with the listening socket.
+      loop.schedule(
+          () -> loop.schedule(() -> stopAccepting(done), 0, TimeUnit.NANOSECONDS),
+          LAST_LOOK,
+          TimeUnit.NANOSECONDS);
+      return;
     }
-
-    /**
-     * Ends a connection that no request is open on, so that its client can tell it from a loss: one that never
-     * brought a whole request, the oldest first, else the one that has been idle longest. Without this, clients
-     * that connect and say nothing would hold every place, and nobody else would ever be let in.
-     */
-    private boolean makeRoom(Session newest) {
-        Session least = null;
-        for (Session session : sessions) {
-            if (session == newest || session.closing || session.current != null) {
-                continue;
-            }
-            if (!session.asked) {
-                least = session;
-                break;
-            }
-            if (session.isBetween() && (least == null || session.since - least.since < 0)) {
-                least = session;
-            }
-        }
-        if (least != null) {
-            least.end("to make room");
-        }
-        return least != null;
+    drained = done;
+    if (listening != null) {
+      listening.close();
     }
-
-    /**
-     * Whether so many connections stand idle that none more is kept after its answer. Clients hold a third of
-     * the descriptors at most: where some ask once and keep their connection, the others would find none left
-     * long before an idle one's time is up, and nothing of that would be seen here but a calm node. The answer
-     * says so, since to end an idle one unasked may cross its client's next request. It covers crowds of such
-     * clients; it could hurt where so many usual clients take turns, each of which then connects again.
-     */
-    private boolean crowded() {
-        int idle = 0;
-        for (Session session : sessions) {
-            idle += session.asked && session.isBetween() && !session.closing ? 1 : 0;
-        }
-        return idle >= mostKept;
+    for (Session session : List.copyOf(sessions)) {
+      if (session.isBetween()) {
+        session.end("at the end of a drain");
+      }
     }
-
-    /** How many connections are open. */
-    int connections() throws Exception {
-        return loop.submit(sessions::size).get();
+    finishDrain();
+  }
+
+  /**
+   * Ends a connection that no request is open on, so that its client can tell it from a loss: one
+   * that never brought a whole request, the oldest first, else the one that has been idle longest.
+   * Without this, clients that connect and say nothing would hold every place, and nobody else
+   * would ever be let in.
+   */
+  private boolean makeRoom(Session newest) {
+    Session least = null;
+    for (Session session : sessions) {
+      if (session == newest || session.closing || session.current != null) {
+        continue;
+      }
+      if (!session.asked) {
+        least = session;
+        break;
+      }
+      if (session.isBetween() && (least == null || session.since - least.since < 0)) {
+        least = session;
+      }
     }
-
-    /** How many of them are not read from, since too much was sent ahead on them. */
-    int unread() {
-        return (int) sessions.stream().filter(session -> !session.channel.config().isAutoRead()).count();
+    if (least != null) {
+      least.end("to make room");
     }
-
-    boolean listens() {
-        return listening != null;
+    return least != null;
+  }
+
+  /**
+   * Whether so many connections stand idle that none more is kept after its answer. Clients hold a
+   * third of the descriptors at most: where some ask once and keep their connection, the others
+   * would find none left long before an idle one's time is up, and nothing of that would be seen
+   * here but a calm node. The answer says so, since to end an idle one unasked may cross its
+   * client's next request. It covers crowds of such clients; it could hurt where so many usual
+   * clients take turns, each of which then connects again.
+   */
+  private boolean crowded() {
+    int idle = 0;
+    for (Session session : sessions) {
+      idle += session.asked && session.isBetween() && !session.closing ? 1 : 0;
     }
-
-    private void finishDrain() {
-        if (drained != null && sessions.isEmpty()) {
-            drained.complete(null);
-        }
+    return idle >= mostKept;
+  }
+
+  /** How many connections are open. */
+  int connections() throws Exception {
+    return loop.submit(sessions::size).get();
+  }
+
+  /** How many of them are not read from, since too much was sent ahead on them. */
+  int unread() {
+    return (int)
+        sessions.stream().filter(session -> !session.channel.config().isAutoRead()).count();
+  }
+
+  boolean listens() {
+    return listening != null;
+  }
+
+  private void finishDrain() {
+    if (drained != null && sessions.isEmpty()) {
+      drained.complete(null);
     }
+  }
 
-    /** A request that is none: the status says why. */
-    private static final class Refusal extends Exception {
-        private static final long serialVersionUID = 1L;
-        private final HttpResponseStatus status;
+  /** A request that is none: the status says why. */
+  private static final class Refusal extends Exception {
+    private static final long serialVersionUID = 1L;
+    private final HttpResponseStatus status;
 
-        Refusal(HttpResponseStatus status, String why) {
-            super(why, null, false, false);
-            this.status = status;
-        }
+    Refusal(HttpResponseStatus status, String why) {
+      super(why, null, false, false);
+      this.status = status;
     }
-
-    private static Refusal bad(String why) {
-        return new Refusal(HttpResponseStatus.BAD_REQUEST, why);
+  }
+
+  private static Refusal bad(String why) {
+    return new Refusal(HttpResponseStatus.BAD_REQUEST, why);
+  }
+
+  /**
+   * Reads a request; what it cannot read it names. Nothing is taken that means different things to
+   * readers.
+   */
+  private OpenRequest read(HttpRequest head, long came, ByteBuf body, OpenRequest.Answers answers)
+      throws Refusal {
+    String uri = head.uri();
+    if (!uri.equals("/api") && !uri.startsWith("/api?")) {
+      throw new Refusal(HttpResponseStatus.NOT_FOUND, "no such path");
     }
-
-    /** Reads a request; what it cannot read it names. Nothing is taken that means different things to readers. */
-    private OpenRequest read(HttpRequest head, long came, ByteBuf body, OpenRequest.Answers answers)
-        throws Refusal {
-        String uri = head.uri();
-        if (!uri.equals("/api") && !uri.startsWith("/api?")) {
-            throw new Refusal(HttpResponseStatus.NOT_FOUND, "no such path");
-        }
-        HttpHeaders headers = head.headers();
-        String id = name(need(headers, "X-Trace-Id"), "X-Trace-Id");
-        int requestClass = index(config.names().classes(), headers, "X-Qos");
-        int plan = index(config.names().plans(), headers, "X-Plan");
-        RequestClass spec = config.settings().classes().get(requestClass);
-        HttpMethod method = spec.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
-        if (!head.method().equals(method)) {
-            throw new Refusal(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + method);
-        }
-        String key = only(headers, "Idempotency-Key");
-        if (key != null || spec.repeat() == Repeat.KEYED) {
-            name(need(headers, "Idempotency-Key"), "Idempotency-Key");
-        }
-        // No client waits longer than its class lets it, whatever it says: its request would only be held.
-        long span = whole(need(headers, "X-Expires-In-Ms"), "X-Expires-In-Ms", 1, 2 * spec.deadline() / MS);
-        Map<String, String> quota = quota(need(headers, "X-Quota"));
-        int siblings = config.settings().siblings();
-        Request request = new Request(id, requestClass, plan, customer(headers),
-            node.deadline(node.at(came), span * MS), units(quota.get("units")),
+    HttpHeaders headers = head.headers();
+    String id = name(need(headers, "X-Trace-Id"), "X-Trace-Id");
+    int requestClass = index(config.names().classes(), headers, "X-Qos");
+    int plan = index(config.names().plans(), headers, "X-Plan");
+    RequestClass spec = config.settings().classes().get(requestClass);
+    HttpMethod method = spec.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
+    if (!head.method().equals(method)) {
+      throw new Refusal(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + method);
+    }
+    String key = only(headers, "Idempotency-Key");
+    if (key != null || spec.repeat() == Repeat.KEYED) {
+      name(need(headers, "Idempotency-Key"), "Idempotency-Key");
+    }
+    // No client waits longer than its class lets it, whatever it says: its request would only be
+    // held.
+    long span =
+        whole(need(headers, "X-Expires-In-Ms"), "X-Expires-In-Ms", 1, 2 * spec.deadline() / MS);
+    Map<String, String> quota = quota(need(headers, "X-Quota"));
+    int siblings = config.settings().siblings();
+    Request request =
+        new Request(
+            id,
+            requestClass,
+            plan,
+            customer(headers),
+            node.deadline(node.at(came), span * MS),
+            units(quota.get("units")),
             (int) whole(quota.get("spread"), "X-Quota spread", 1, siblings),
             (int) whole(quota.get("first"), "X-Quota first", 0, siblings - 1L),
             "1".equals(headers.get("X-Second-Try")));
-        return new OpenRequest(request, method, uri, key, body, answers);
+    return new OpenRequest(request, method, uri, key, body, answers);
+  }
+
+  /** A header that stands once at most; null if it does not stand there. */
+  private static String only(HttpHeaders headers, String name) throws Refusal {
+    Iterator<String> values = headers.valueStringIterator(name);
+    String value = values.hasNext() ? values.next() : null;
+    if (values.hasNext()) {
+      throw bad(name + " stands there twice");
     }
+    return value;
+  }
 
-    /** A header that stands once at most; null if it does not stand there. */
-    private static String only(HttpHeaders headers, String name) throws Refusal {
-        Iterator<String> values = headers.valueStringIterator(name);
-        String value = values.hasNext() ? values.next() : null;
-        if (values.hasNext()) {
-            throw bad(name + " stands there twice");
-        }
-        return value;
+  private static String need(HttpHeaders headers, String name) throws Refusal {
+    String value = only(headers, name);
+    if (value == null || value.isBlank()) {
+      throw bad(name + " is missing");
     }
-
-    private static String need(HttpHeaders headers, String name) throws Refusal {
-        String value = only(headers, name);
-        if (value == null || value.isBlank()) {
-            throw bad(name + " is missing");
-        }
-        return value;
+    return value;
+  }
+
+  /** These go on to app servers and must arrive there as they came. */
+  private static String name(String value, String header) throws Refusal {
+    boolean good = value.length() <= MOST_NAME;
+    for (int i = 0; good && i < value.length(); i++) {
+      good = value.charAt(i) > ' ' && value.charAt(i) < 127;
     }
-
-    /** These go on to app servers and must arrive there as they came. */
-    private static String name(String value, String header) throws Refusal {
-        boolean good = value.length() <= MOST_NAME;
-        for (int i = 0; good && i < value.length(); i++) {
-            good = value.charAt(i) > ' ' && value.charAt(i) < 127;
-        }
-        if (!good) {
-            throw bad(header + " is no name");
-        }
-        return value;
+    if (!good) {
+      throw bad(header + " is no name");
     }
+    return value;
+  }
 
-    private static int index(List<String> names, HttpHeaders headers, String name) throws Refusal {
-        int index = names.indexOf(need(headers, name));
-        if (index < 0) {
-            throw bad(name + " is unknown");
-        }
-        return index;
+  private static int index(List<String> names, HttpHeaders headers, String name) throws Refusal {
+    int index = names.indexOf(need(headers, name));
+    if (index < 0) {
+      throw bad(name + " is unknown");
     }
-
-    private static long customer(HttpHeaders headers) throws Refusal {
-        String found = null;
-        for (Cookie cookie : ServerCookieDecoder.LAX.decodeAll(need(headers, "Cookie"))) {
-            if (cookie.name().equals("customer")) {
-                if (found != null) {
-                    throw bad("the cookie names two customers");
-                }
-                found = cookie.value();
-            }
-        }
-        if (found != null && found.length() == CUSTOMER_DIGITS && isOf(found, 16)) {
-            long customer = Long.parseUnsignedLong(found, 16);
-            if (customer >= 0 && customer < MAX_CUSTOMER) {
-                return customer;
-            }
-        }
-        throw bad("the cookie names no customer");
+    return index;
+  }
+
+  private static long customer(HttpHeaders headers) throws Refusal {
+    String found = null;
+    for (Cookie cookie : ServerCookieDecoder.LAX.decodeAll(need(headers, "Cookie"))) {
+      if (cookie.name().equals("customer")) {
+        if (found != null) {
+          throw bad("the cookie names two customers");
+        }
+        found = cookie.value();
+      }
     }
-
-    private static Map<String, String> quota(String text) throws Refusal {
-        Map<String, String> parts = new HashMap<>();
-        for (String part : text.split(",")) {
-            String[] pair = part.trim().split("=", 2);
-            if (parts.put(pair[0], pair.length > 1 ? pair[1] : "") != null) {
-                throw bad("X-Quota says " + pair[0] + " twice");
-            }
-        }
-        return parts;
+    if (found != null && found.length() == CUSTOMER_DIGITS && isOf(found, 16)) {
+      long customer = Long.parseUnsignedLong(found, 16);
+      if (customer >= 0 && customer < MAX_CUSTOMER) {
+        return customer;
+      }
+    }
+    throw bad("the cookie names no customer");
+  }
+
+  private static Map<String, String> quota(String text) throws Refusal {
+    Map<String, String> parts = new HashMap<>();
+    for (String part : text.split(",")) {
+      String[] pair = part.trim().split("=", 2);
+      if (parts.put(pair[0], pair.length > 1 ? pair[1] : "") != null) {
+        throw bad("X-Quota says " + pair[0] + " twice");
+      }
     }
+    return parts;
+  }
 
-    private double units(String text) throws Refusal {
-        double units = Figures.amount(text, config.settings().counter().largest());
-        if (Double.isNaN(units)) {
-            throw bad("X-Quota units is not a number above 0 that one request may count");
-        }
-        return units;
+  private double units(String text) throws Refusal {
+    double units = Figures.amount(text, config.settings().counter().largest());
+    if (Double.isNaN(units)) {
+      throw bad("X-Quota units is not a number above 0 that one request may count");
+    }
+    return units;
+  }
+
+  private static boolean isOf(String text, int radix) {
+    for (int i = 0; i < text.length(); i++) {
+      if (text.charAt(i) > 127 || Character.digit(text.charAt(i), radix) < 0) {
+        return false;
+      }
     }
+    return true;
+  }
 
-    private static boolean isOf(String text, int radix) {
-        for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) > 127 || Character.digit(text.charAt(i), radix) < 0) {
-                return false;
-            }
-        }
-        return true;
+  private static long whole(String text, String name, long least, long most) throws Refusal {
+    if (text != null && !text.isEmpty() && text.length() <= MOST_DIGITS && isOf(text, 10)) {
+      long value = Long.parseLong(text);
+      if (value >= least && value <= most) {
+        return value;
+      }
     }
+    throw bad(name + " is not a whole number from " + least + " to " + most);
+  }
 
-    private static long whole(String text, String name, long least, long most) throws Refusal {
-        if (text != null && !text.isEmpty() && text.length() <= MOST_DIGITS && isOf(text, 10)) {
-            long value = Long.parseLong(text);
-            if (value >= least && value <= most) {
-                return value;
-            }
-        }
-        throw bad(name + " is not a whole number from " + least + " to " + most);
-    }
-
-    /** A client's connection: one request at a time; what comes behind it waits undecoded. */
-    private final class Session extends SimpleChannelInboundHandler<HttpObject> {
-        private final RequestDecoder decoder = new RequestDecoder(this::arrived, this::earliest);
-        private final Body body = new Body(ServerPool.MOST_BODY);
-        private final Channel channel;
-        private HttpRequest head;
-        private OpenRequest current;
-        /** {@code begun}: a part of a request has come; {@code asked}: a whole one has, ever. */
-        private boolean begun, asked, keepAlive, closing;
-        /** Whether it has been left unread, and what comes now may have waited since it was last seen empty. */
-        private boolean unread;
-        /** When the request that is coming, or else the silence, began. */
-        private long since = System.nanoTime();
-        private int held;
-        /** When its client was last seen to be there: all that it had sent was read, and no close came behind. */
-        private long seenAt = acceptThrottle.waitingSince();
-
-        Session(Channel channel) {
-            this.channel = channel;
-        }
+  /** A client's connection: one request at a time; what comes behind it waits undecoded. */
+  private final class Session extends SimpleChannelInboundHandler<HttpObject> {
+    private final RequestDecoder decoder = new RequestDecoder(this::arrived, this::earliest);
+    private final Body body = new Body(ServerPool.MOST_BODY);
+    private final Channel channel;
+    private HttpRequest head;
+    private OpenRequest current;
 
-        boolean isBetween() {
-            return current == null && !begun;
-        }
+    /** {@code begun}: a part of a request has come; {@code asked}: a whole one has, ever. */
+    private boolean begun, asked, keepAlive, closing;
 
-        @Override
-        public void channelActive(ChannelHandlerContext context) {
-            sessions.add(this);
-            if (sessions.size() >= most && !makeRoom(this)) {
-                // At the bound on descriptors newcomers wait in the kernel's line until a connection ends.
-                // Asked of the channel itself: the first clients are here before the bind is told.
-                acceptThrottle.pause(channel.parent(), System.nanoTime());
-            }
-        }
+    /**
+     * Whether it has been left unread, and what comes now may have waited since it was last seen
+     * empty.
+     */
+    private boolean unread;
 
-        /** After each read. A client that sends ahead is not read from any more until its turn comes. */
-        private void arrived() {
-            if (isBetween() && !closing && decoder.held() > 0) {
-                begin();
-            }
-            account();
-            // Paused is also what is answered and not gone on from yet: one read could take in megabytes.
-            if (decoder.isPaused() && decoder.held() > 0
-                && (decoder.held() > MOST_AHEAD || !budget.allows(decoder.held()))) {
-                unread = true;
-                channel.config().setAutoRead(false);
-            } else if (head != null && !closing && !budget.allows(held)) {
-                refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
-            }
-        }
+    /** When the request that is coming, or else the silence, began. */
+    private long since = System.nanoTime();
 
-        private void begin() {
-            begun = true;
-            if (asked) {
-                since = System.nanoTime();
-            }
-        }
+    private int held;
 
-        private void account() {
-            int holds = decoder.held() + body.size();
-            budget.change(holds - held);
-            held = holds;
-        }
+    /**
+     * When its client was last seen to be there: all that it had sent was read, and no close came
+     * behind.
+     */
+    private long seenAt = acceptThrottle.waitingSince();
 
-        /** Ends what takes too long. Never while a request is open: that would lose it. */
-        private void limit() {
-            long age = System.nanoTime() - since;
-            if (current != null) {
-                return;
-            }
-            if (begun && !closing && age > WHOLE) {
-                refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
-            } else if ((closing || !begun) && age > IDLE) {
-                end("idle");
-            }
-        }
+    Session(Channel channel) {
+      this.channel = channel;
+    }
 
-        /** Closes the connection unasked, which must not cost a request its answer. */
-        private void end(String why) {
-            if (node.guard().mayClose(current, why)) {
-                node.log().count(NodeLog.Event.IDLE_CLOSED);
-                closing = true;
-                channel.close();
-            }
-        }
+    boolean isBetween() {
+      return current == null && !begun;
+    }
 
-        @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (closing) {
-                return;
-            }
-            if (part.decoderResult().isFailure()) {
-                refuse(HttpResponseStatus.BAD_REQUEST, "this is no request that can be read");
-                return;
-            }
-            if (part instanceof HttpRequest coming) {
-                head = coming;
-                begin();
-                weigh(coming);
-            }
-            if (part instanceof HttpContent content && !closing && !body.add(content.content())) {
-                refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
-            }
-            if (part instanceof LastHttpContent && !closing) {
-                // Once all that came is read: what stands behind it may be the client's leaving.
-                asked = true;
-                loop.execute(this::handle);
-            }
-        }
+    @Override
+    public void channelActive(ChannelHandlerContext context) {
+      sessions.add(this);
+      if (sessions.size() >= most && !makeRoom(this)) {
+        // At the bound on descriptors newcomers wait in the kernel's line until a connection ends.
+        // Asked of the channel itself: the first clients are here before the bind is told.
+        acceptThrottle.pause(channel.parent(), System.nanoTime());
+      }
+    }
 
-        /** The earliest moment at which what is read now may have come. */
-        private long earliest() {
-            // What a client sends right behind its connect may have waited as long as that.
-            return unread || !asked && !begun ? seenAt : node.lookedBefore();
-        }
+    /**
+     * After each read. A client that sends ahead is not read from any more until its turn comes.
+     */
+    private void arrived() {
+      if (isBetween() && !closing && decoder.held() > 0) {
+        begin();
+      }
+      account();
+      // Paused is also what is answered and not gone on from yet: one read could take in megabytes.
+      if (decoder.isPaused()
+          && decoder.held() > 0
+          && (decoder.held() > MOST_AHEAD || !budget.allows(decoder.held()))) {
+        unread = true;
+        channel.config().setAutoRead(false);
+      } else if (head != null && !closing && !budget.allows(held)) {
+        refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
+      }
+    }
 
-        /**
-         * Whether the client has left, as the socket tells now: a loop that was held for long has its close still
-         * before it, and so has one that reads what other sockets brought first.
-         */
-        private boolean hasLeft() {
-            RecvByteBufAllocator.Handle last = channel.unsafe().recvBufAllocHandle();
-            boolean reads = channel.isActive() && channel.config().isAutoRead();
-            while (reads) {
-                ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
-                reads = channel.isActive() && channel.config().isAutoRead() && last.lastBytesRead() > 0;
-            }
-            if (channel.isActive() && channel.config().isAutoRead()) {
-                seenAt = System.nanoTime();
-                unread = false;
-            }
-            return !channel.isActive() || System.nanoTime() - seenAt > UNSEEN;
-        }
+    private void begin() {
+      begun = true;
+      if (asked) {
+        since = System.nanoTime();
+      }
+    }
 
-        /** Turns a body away that is too large by what the head says, before any of it is read. */
-        private void weigh(HttpRequest coming) {
-            long length = HttpUtil.getContentLength(coming, 0L);
-            if (length > ServerPool.MOST_BODY) {
-                refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
-            } else if (!budget.allows(length)) {
-                refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
-            } else if (HttpUtil.is100ContinueExpected(coming)) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
-                    Unpooled.EMPTY_BUFFER));
-            }
-        }
+    private void account() {
+      int holds = decoder.held() + body.size();
+      budget.change(holds - held);
+      held = holds;
+    }
 
-        private void handle() {
-            if (closing || !channel.isActive()) {
-                return;
-            }
-            HttpRequest whole = head;
-            ByteBuf content = body.take();
-            head = null;
-            begun = false;
-            keepAlive = HttpUtil.isKeepAlive(whole);
-            if (whole.uri().equals("/_health")) {
-                content.release();
-                health(whole.method());
-                return;
-            }
-            try {
-                OpenRequest taken = read(whole, decoder.wholeAt(), content, new Reply());
-                current = taken;
-                if (!node.take(taken)) {
-                    current = null;
-                    throw new Refusal(HttpResponseStatus.CONFLICT, "a request of this id is open");
-                }
-            } catch (Refusal e) {
-                content.release();
-                refuse(e.status, e.getMessage());
-            }
-        }
+    /** Ends what takes too long. Never while a request is open: that would lose it. */
+    private void limit() {
+      long age = System.nanoTime() - since;
+      if (current != null) {
+        return;
+      }
+      if (begun && !closing && age > WHOLE) {
+        refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
+      } else if ((closing || !begun) && age > IDLE) {
+        end("idle");
+      }
+    }
 
-        private void health(HttpMethod method) {
-            if (!method.equals(HttpMethod.GET)) {
-                refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
-            } else {
-                write(node.ready() && !draining ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    Unpooled.EMPTY_BUFFER, 0);
-            }
-        }
+    /** Closes the connection unasked, which must not cost a request its answer. */
+    private void end(String why) {
+      if (node.guard().mayClose(current, why)) {
+        node.log().count(NodeLog.Event.IDLE_CLOSED);
+        closing = true;
+        channel.close();
+      }
+    }
 
-        /** Turns away what is no request. Nothing behind it is read: it may be a part of it. */
-        private void refuse(HttpResponseStatus status, String why) {
-            node.log().count(NodeLog.Event.BAD_REQUEST);
-            keepAlive = false;
-            head = null;
-            body.take().release();
-            decoder.stop();
-            channel.config().setAutoRead(false);
-            write(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
-        }
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+      if (closing) {
+        return;
+      }
+      if (part.decoderResult().isFailure()) {
+        refuse(HttpResponseStatus.BAD_REQUEST, "this is no request that can be read");
+        return;
+      }
+      if (part instanceof HttpRequest coming) {
+        head = coming;
+        begin();
+        weigh(coming);
+      }
+      if (part instanceof HttpContent content && !closing && !body.add(content.content())) {
+        refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+      }
+      if (part instanceof LastHttpContent && !closing) {
+        // Once all that came is read: what stands behind it may be the client's leaving.
+        asked = true;
+        loop.execute(this::handle);
+      }
+    }
 
-        private void write(HttpResponseStatus status, ByteBuf content, long retryAfter) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
-            if (retryAfter > 0) {
-                answer.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    BigDecimal.valueOf((retryAfter + MS - 1) / MS, 3).toPlainString());
-            }
-            closing = !keepAlive || draining || crowded();
-            if (closing) {
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            }
-            current = null;
-            begun = false;
-            since = System.nanoTime();
-            channel.writeAndFlush(answer).addListener(closing ? ChannelFutureListener.CLOSE
-                : ChannelFutureListener.CLOSE_ON_FAILURE);
-            if (!closing) {
-                loop.execute(this::next);
-            }
-        }
+    /** The earliest moment at which what is read now may have come. */
+    private long earliest() {
+      // What a client sends right behind its connect may have waited as long as that.
+      return unread || !asked && !begun ? seenAt : node.lookedBefore();
+    }
 
-        /** Goes on to what came meanwhile, unless the client does not even read its answers. */
-        private void next() {
-            if (current != null || closing || !channel.isActive() || !channel.isWritable()) {
-                return;
-            }
-            channel.config().setAutoRead(true);
-            try {
-                decoder.resume();
-            } catch (Exception e) {
-                exceptionCaught(null, e);
-            }
-        }
+    /**
+     * Whether the client has left, as the socket tells now: a loop that was held for long has its
+     * close still before it, and so has one that reads what other sockets brought first.
+     */
+    private boolean hasLeft() {
+      RecvByteBufAllocator.Handle last = channel.unsafe().recvBufAllocHandle();
+      boolean reads = channel.isActive() && channel.config().isAutoRead();
+      while (reads) {
+        ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
+        reads = channel.isActive() && channel.config().isAutoRead() && last.lastBytesRead() > 0;
+      }
+      if (channel.isActive() && channel.config().isAutoRead()) {
+        seenAt = System.nanoTime();
+        unread = false;
+      }
+      return !channel.isActive() || System.nanoTime() - seenAt > UNSEEN;
+    }
 
-        @Override
-        public void channelWritabilityChanged(ChannelHandlerContext context) {
-            next();
-        }
+    /** Turns a body away that is too large by what the head says, before any of it is read. */
+    private void weigh(HttpRequest coming) {
+      long length = HttpUtil.getContentLength(coming, 0L);
+      if (length > ServerPool.MOST_BODY) {
+        refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+      } else if (!budget.allows(length)) {
+        refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
+      } else if (HttpUtil.is100ContinueExpected(coming)) {
+        channel.writeAndFlush(
+            new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+      }
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            sessions.remove(this);
-            body.take().release();
-            account();
-            if (drained == null) {
-                acceptThrottle.resume(channel.parent());
-            }
-            OpenRequest left = current;
-            current = null;
-            closing = true;
-            if (left != null) {
-                node.clientGone(left);
-            }
-            finishDrain();
-        }
+    private void handle() {
+      if (closing || !channel.isActive()) {
+        return;
+      }
+      HttpRequest whole = head;
+      ByteBuf content = body.take();
+      head = null;
+      begun = false;
+      keepAlive = HttpUtil.isKeepAlive(whole);
+      if (whole.uri().equals("/_health")) {
+        content.release();
+        health(whole.method());
+        return;
+      }
+      try {
+        OpenRequest taken = read(whole, decoder.wholeAt(), content, new Reply());
+        current = taken;
+        if (!node.take(taken)) {
+          current = null;
+          throw new Refusal(HttpResponseStatus.CONFLICT, "a request of this id is open");
+        }
+      } catch (Refusal e) {
+        content.release();
+        refuse(e.status, e.getMessage());
+      }
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-                EdgeNode.trouble("a client's connection", cause);
-            }
-            channel.close();
-        }
+    private void health(HttpMethod method) {
+      if (!method.equals(HttpMethod.GET)) {
+        refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
+      } else {
+        write(
+            node.ready() && !draining
+                ? HttpResponseStatus.OK
+                : HttpResponseStatus.SERVICE_UNAVAILABLE,
+            Unpooled.EMPTY_BUFFER,
+            0);
+      }
+    }
 
-        /** Writes the one answer of the request in hand. */
-        private final class Reply implements OpenRequest.Answers {
-            @Override
-            public void served(ByteBuf content) {
-                write(HttpResponseStatus.OK, content.retain(), 0);
-            }
+    /** Turns away what is no request. Nothing behind it is read: it may be a part of it. */
+    private void refuse(HttpResponseStatus status, String why) {
+      node.log().count(NodeLog.Event.BAD_REQUEST);
+      keepAlive = false;
+      head = null;
+      body.take().release();
+      decoder.stop();
+      channel.config().setAutoRead(false);
+      write(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
+    }
 
-            @Override
-            public void refused(long retryAfter) {
-                write(retryAfter > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfter);
-            }
+    private void write(HttpResponseStatus status, ByteBuf content, long retryAfter) {
+      DefaultFullHttpResponse answer =
+          new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+      if (retryAfter > 0) {
+        answer
+            .headers()
+            .set(
+                HttpHeaderNames.RETRY_AFTER,
+                BigDecimal.valueOf((retryAfter + MS - 1) / MS, 3).toPlainString());
+      }
+      closing = !keepAlive || draining || crowded();
+      if (closing) {
+        answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      }
+      current = null;
+      begun = false;
+      since = System.nanoTime();
+      channel
+          .writeAndFlush(answer)
+          .addListener(
+              closing ? ChannelFutureListener.CLOSE : ChannelFutureListener.CLOSE_ON_FAILURE);
+      if (!closing) {
+        loop.execute(this::next);
+      }
+    }
 
-            @Override
-            public boolean hasLeft() {
-                return Session.this.hasLeft();
-            }
+    /** Goes on to what came meanwhile, unless the client does not even read its answers. */
+    private void next() {
+      if (current != null || closing || !channel.isActive() || !channel.isWritable()) {
+        return;
+      }
+      channel.config().setAutoRead(true);
+      try {
+        decoder.resume();
+      } catch (Exception e) {
+        exceptionCaught(null, e);
+      }
+    }
 
-            @Override
-            public void failed() {
-                write(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
-            }
-        }
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext context) {
+      next();
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+      sessions.remove(this);
+      body.take().release();
+      account();
+      if (drained == null) {
+        acceptThrottle.resume(channel.parent());
+      }
+      OpenRequest left = current;
+      current = null;
+      closing = true;
+      if (left != null) {
+        node.clientGone(left);
+      }
+      finishDrain();
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      if (!(cause instanceof IOException || cause instanceof DecoderException)) {
+        EdgeNode.trouble("a client's connection", cause);
+      }
+      channel.close();
+    }
+
+    /** Writes the one answer of the request in hand. */
+    private final class Reply implements OpenRequest.Answers {
+      @Override
+      public void served(ByteBuf content) {
+        write(HttpResponseStatus.OK, content.retain(), 0);
+      }
+
+      @Override
+      public void refused(long retryAfter) {
+        write(
+            retryAfter > 0
+                ? HttpResponseStatus.TOO_MANY_REQUESTS
+                : HttpResponseStatus.SERVICE_UNAVAILABLE,
+            Unpooled.EMPTY_BUFFER,
+            retryAfter);
+      }
+
+      @Override
+      public boolean hasLeft() {
+        return Session.this.hasLeft();
+      }
+
+      @Override
+      public void failed() {
+        write(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
+      }
     }
+  }
 }
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -26,399 +26,437 @@
 import merlinrouter.Ports.Server;
 
 /**
- * A real edge node: carries what happens on the sockets to the decision module and its actions back. All of it
- * runs on one event loop thread, so nothing here is locked and the module's contract of one caller holds.
+ * A real edge node: carries what happens on the sockets to the decision module and its actions
+ * back. All of it runs on one event loop thread, so nothing here is locked and the module's
+ * contract of one caller holds.
  */
 final class EdgeNode implements Ports.Actions, AutoCloseable {
-    private static final long MS = 1_000_000L;
-    /**
-     * By so much the module sees each deadline early: its last answer is written before the client leaves. That is
-     * the way out, and the work that may come first: a collection of the young generation takes up to 24 ms of a
-     * core (measured, as is that nothing usual takes longer). On a part of a core it takes as much longer.
-     */
-    private static final long WAY_OUT = 12 * MS, HELD = 24 * MS;
-    /** Of a short time no more than this part, or hardly any request of it could be served. Ours. */
-    private static final int MARGIN_PART = 4;
-    /** So long behind the deadline that it is told a request that the module has left unanswered is failed. */
-    private static final long LATE_MODULE = 6 * MS;
-    /** How long connections go on coming after SIGTERM (0.4 s at most), and some more. */
-    private static final long DRAIN_GRACE = 600 * MS;
-    /** How often the wall clock is compared with the monotonic one. */
-    private static final long CLOCK_LOOK = 500 * MS;
-    /** A turn of the loop that is late by more than this is counted: the rules allow for 0.15 s. */
-    private static final long LOOP_HELD = 150 * MS;
-
-    private final Looks looks = new Looks();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-        NioIoHandler.newFactory(SelectorProvider.provider(), () -> looks));
-    private final EventLoop loop = group.next();
-    /** The module's clock is monotonic; it starts at the wall's time, which nothing relies on. */
-    private final long clockOffset = System.currentTimeMillis() * MS - System.nanoTime();
-    private final NodeLog log;
-    private final InvariantGuard guard;
-    private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ServerStartTimes startTimes;
-    private final ByteBudget budget;
-    private final ServerPool pool;
-    private final CounterClient counter;
-    private final DiscoveryClient discovery;
-    private final ClientServer clients;
-    private final Config config;
-    private Gateway gateway;
-    private Config early;
-    private boolean inside;
-    /** When the event began that the module is handling. */
-    private long eventAt;
-    private long lastHousekeeping = System.nanoTime();
-
-    EdgeNode(Config config) {
-        this(config, new NodeLog());
-    }
-
-    EdgeNode(Config config, NodeLog log) {
-        this.config = config;
-        this.log = log;
-        guard = new InvariantGuard(log);
-        budget = new ByteBudget(config.memory());
-        startTimes = new ServerStartTimes(config.settings().rules().coldSpan(), log);
-        pool = new ServerPool(this, loop, config);
-        counter = new CounterClient(this::counted, loop, config);
-        discovery = new DiscoveryClient(this, loop, config);
-        clients = new ClientServer(this, loop, config, budget);
-    }
-
-    /** Begins to serve; returns when the listening socket is bound. */
-    void start() throws Exception {
-        loop.submit(() -> {
-            gateway = new Gateway(config.settings(), config.seed(), now(), this);
-            loop.scheduleAtFixedRate(this::housekeeping, CLOCK_LOOK, CLOCK_LOOK, TimeUnit.NANOSECONDS);
-            list(config.known(), ListKind.CACHED);
-            discovery.start(config.known().revision());
-            if (early != null) {
+  private static final long MS = 1_000_000L;
+
+  /**
+   * By so much the module sees each deadline early: its last answer is written before the client
+   * leaves. That is the way out, and the work that may come first: a collection of the young
+   * generation takes up to 24 ms of a core (measured, as is that nothing usual takes longer). On a
+   * part of a core it takes as much longer.
+   */
+  private static final long WAY_OUT = 12 * MS, HELD = 24 * MS;
+
+  /** Of a short time no more than this part, or hardly any request of it could be served. Ours. */
+  private static final int MARGIN_PART = 4;
+
+  /**
+   * So long behind the deadline that it is told a request that the module has left unanswered is
+   * failed.
+   */
+  private static final long LATE_MODULE = 6 * MS;
+
+  /** How long connections go on coming after SIGTERM (0.4 s at most), and some more. */
+  private static final long DRAIN_GRACE = 600 * MS;
+
+  /** How often the wall clock is compared with the monotonic one. */
+  private static final long CLOCK_LOOK = 500 * MS;
+
+  /** A turn of the loop that is late by more than this is counted: the rules allow for 0.15 s. */
+  private static final long LOOP_HELD = 150 * MS;
+
+  private final Looks looks = new Looks();
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> looks));
+  private final EventLoop loop = group.next();
+
+  /** The module's clock is monotonic; it starts at the wall's time, which nothing relies on. */
+  private final long clockOffset = System.currentTimeMillis() * MS - System.nanoTime();
+
+  private final NodeLog log;
+  private final InvariantGuard guard;
+  private final Map<String, OpenRequest> open = new HashMap<>();
+  private final ServerStartTimes startTimes;
+  private final ByteBudget budget;
+  private final ServerPool pool;
+  private final CounterClient counter;
+  private final DiscoveryClient discovery;
+  private final ClientServer clients;
+  private final Config config;
+  private Gateway gateway;
+  private Config early;
+  private boolean inside;
+
+  /** When the event began that the module is handling. */
+  private long eventAt;
+
+  private long lastHousekeeping = System.nanoTime();
+
+  EdgeNode(Config config) {
+    this(config, new NodeLog());
+  }
+
+  EdgeNode(Config config, NodeLog log) {
+    this.config = config;
+    this.log = log;
+    guard = new InvariantGuard(log);
+    budget = new ByteBudget(config.memory());
+    startTimes = new ServerStartTimes(config.settings().rules().coldSpan(), log);
+    pool = new ServerPool(this, loop, config);
+    counter = new CounterClient(this::counted, loop, config);
+    discovery = new DiscoveryClient(this, loop, config);
+    clients = new ClientServer(this, loop, config, budget);
+  }
+
+  /** Begins to serve; returns when the listening socket is bound. */
+  void start() throws Exception {
+    loop.submit(
+            () -> {
+              gateway = new Gateway(config.settings(), config.seed(), now(), this);
+              loop.scheduleAtFixedRate(
+                  this::housekeeping, CLOCK_LOOK, CLOCK_LOOK, TimeUnit.NANOSECONDS);
+              list(config.known(), ListKind.CACHED);
+              discovery.start(config.known().revision());
+              if (early != null) {
                 move(early);
-            }
-        }).get();
-        clients.bind().get();
-    }
-
-    private void housekeeping() {
-        long now = System.nanoTime();
-        if (now - lastHousekeeping > CLOCK_LOOK + LOOP_HELD) {
-            log.count(NodeLog.Event.LOOP_HELD);
-        }
-        lastHousekeeping = now;
-        lookAtClocks();
-        log.tick();
-    }
-
-    /** Where clients connect. */
-    SocketAddress address() {
-        return clients.address();
-    }
-
-    /** How many clients' connections are open. */
-    int connections() throws Exception {
-        return clients.connections();
-    }
-
-    EventLoop loop() {
-        return loop;
-    }
-
-    InvariantGuard guard() {
-        return guard;
-    }
-
-    NodeLog log() {
-        return log;
-    }
-
-    /** How many bytes clients' requests hold. */
-    long held() {
-        return budget.used();
-    }
-
-    /** How many of these wait unread behind a request; asked on the loop, as is whether the node listens. */
-    int unread() {
-        return clients.unread();
-    }
-
-    boolean listens() {
-        return clients.listens();
-    }
-
-    ServerPool pool() {
-        return pool;
-    }
-
-    DiscoveryClient discovery() {
-        return discovery;
-    }
-
-    /**
-     * Goes over to the addresses of a new configuration. Clients, attempts, the module and its list stay as they
-     * are, and all else in the file is for the next start.
-     */
-    void reload(Config changed) {
-        loop.execute(() -> {
-            if (gateway == null) {
-                // A hang-up between the file's reading and the start: its turn is right behind that.
-                early = changed;
-            } else {
-                move(changed);
-            }
+              }
+            })
+        .get();
+    clients.bind().get();
+  }
+
+  private void housekeeping() {
+    long now = System.nanoTime();
+    if (now - lastHousekeeping > CLOCK_LOOK + LOOP_HELD) {
+      log.count(NodeLog.Event.LOOP_HELD);
+    }
+    lastHousekeeping = now;
+    lookAtClocks();
+    log.tick();
+  }
+
+  /** Where clients connect. */
+  SocketAddress address() {
+    return clients.address();
+  }
+
+  /** How many clients' connections are open. */
+  int connections() throws Exception {
+    return clients.connections();
+  }
+
+  EventLoop loop() {
+    return loop;
+  }
+
+  InvariantGuard guard() {
+    return guard;
+  }
+
+  NodeLog log() {
+    return log;
+  }
+
+  /** How many bytes clients' requests hold. */
+  long held() {
+    return budget.used();
+  }
+
+  /**
+   * How many of these wait unread behind a request; asked on the loop, as is whether the node
+   * listens.
+   */
+  int unread() {
+    return clients.unread();
+  }
+
+  boolean listens() {
+    return clients.listens();
+  }
+
+  ServerPool pool() {
+    return pool;
+  }
+
+  DiscoveryClient discovery() {
+    return discovery;
+  }
+
+  /**
+   * Goes over to the addresses of a new configuration. Clients, attempts, the module and its list
+   * stay as they are, and all else in the file is for the next start.
+   */
+  void reload(Config changed) {
+    loop.execute(
+        () -> {
+          if (gateway == null) {
+            // A hang-up between the file's reading and the start: its turn is right behind that.
+            early = changed;
+          } else {
+            move(changed);
+          }
         });
-    }
-
-    private void move(Config changed) {
-        discovery.move(changed.discovery());
-        if (changed.counter() != null) {
-            counter.move(changed.counter());
-        }
-    }
-
-    /** Answers all that was taken and completes when no client's connection is open any more. */
-    CompletableFuture<Void> drain() {
-        CompletableFuture<Void> done = new CompletableFuture<>();
-        loop.execute(() -> {
-            long grace = clients.closeAfterAnswers() ? DRAIN_GRACE : 0;
-            // The second task comes after one more look at the sockets: who came before the first is let in.
-            loop.schedule(() -> loop.schedule(() -> clients.stopAccepting(done), 0, TimeUnit.NANOSECONDS), grace,
-                TimeUnit.NANOSECONDS);
+  }
+
+  private void move(Config changed) {
+    discovery.move(changed.discovery());
+    if (changed.counter() != null) {
+      counter.move(changed.counter());
+    }
+  }
+
+  /** Answers all that was taken and completes when no client's connection is open any more. */
+  CompletableFuture<Void> drain() {
+    CompletableFuture<Void> done = new CompletableFuture<>();
+    loop.execute(
+        () -> {
+          long grace = clients.closeAfterAnswers() ? DRAIN_GRACE : 0;
+          // The second task comes after one more look at the sockets: who came before the first is
+          // let in.
+          loop.schedule(
+              () -> loop.schedule(() -> clients.stopAccepting(done), 0, TimeUnit.NANOSECONDS),
+              grace,
+              TimeUnit.NANOSECONDS);
         });
-        return done;
-    }
-
-    @Override
-    public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-    }
-
-    long now() {
-        return at(System.nanoTime());
-    }
-
-    /** A moment of the system's clock that never jumps, by the module's. */
-    long at(long nanoTime) {
-        return nanoTime + clockOffset;
-    }
-
-    /** Whatever a socket brings now came after this moment, however long the loop was held since. */
-    long lookedBefore() {
-        return looks.before();
-    }
-
-    /**
-     * Runs one event of the module. Sockets may report within an action, that is within an event, and the
-     * module must not be entered twice: such a report waits for the loop.
-     */
-    private void event(OpenRequest about, LongConsumer call) {
-        if (inside) {
-            loop.execute(() -> event(about, call));
-            return;
-        }
-        inside = true;
-        eventAt = now();
-        try {
-            call.accept(eventAt);
-        } catch (RuntimeException e) {
-            // One request's trouble must not end the process, nor leave that request without an answer.
-            trouble("the module failed", e);
-            if (about != null) {
-                fail(about);
-                // The module must not go on counting it; an attempt that is out still ends.
-                loop.execute(() -> event(null, now -> gateway.clientGone(now, about.request.id())));
-            }
-        } finally {
-            inside = false;
-        }
-    }
-
-    static void trouble(String what, Throwable e) {
-        StackTraceElement[] at = e.getStackTrace();
-        System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
-    }
-
-    /** The list of app servers, or changes to it. */
-    void list(Config.Roll roll, ListKind kind) {
-        List<Server> told = pool.update(withMonotonicStarts(roll), kind != ListKind.DELTA);
-        event(null, now -> gateway.list(now, kind, told));
-    }
-
-    private Config.Roll withMonotonicStarts(Config.Roll roll) {
-        lookAtClocks();
-        long now = now();
-        List<Config.Member> members = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        for (Config.Member member : roll.members()) {
-            Server server = member.server();
-            named.add(server.id());
-            long started = startTimes.momentOf(server.id(), server.startedAt(), now);
-            members.add(new Config.Member(server.startingAt(started), member.address()));
-            if (server.readiness() == Readiness.GONE) {
-                startTimes.forget(server.id());
-            }
-        }
-        if (roll.complete()) {
-            startTimes.retain(named);
-        }
-        return new Config.Roll(roll.revision(), roll.complete(), members);
-    }
-
-    private void lookAtClocks() {
-        startTimes.look(now(), System.currentTimeMillis() * MS);
-    }
-
-    /** Whether discovery has been heard, or has been silent for so long that the known list must do. */
-    boolean ready() {
-        return discovery.heard();
-    }
-
-    /** The deadline that the module is told, for a client that waits {@code span} from now. */
-    long deadline(long now, long span) {
-        long margin = Math.max(WAY_OUT, Math.min((long) (HELD / config.cores()), span / MARGIN_PART));
-        return now + Math.max(MS, span - margin);
-    }
-
-    /** Takes a request; false if its id is that of one still open. */
-    boolean take(OpenRequest taken) {
-        if (open.putIfAbsent(taken.request.id(), taken) != null) {
-            return false;
-        }
-        long left = taken.request.deadline() + LATE_MODULE - now();
-        // The backstop for a module that is late: no request may be left without an answer.
-        taken.overdue = loop.schedule(() -> overdue(taken), Math.max(0, left), TimeUnit.NANOSECONDS);
-        budget.change(taken.body.readableBytes());
-        event(taken, now -> gateway.request(now, taken.request));
-        return true;
-    }
-
-    private void overdue(OpenRequest late) {
-        if (!late.answered) {
-            log.request(NodeLog.Event.OVERDUE, late.request.id(), late.attempts + " attempts, "
-                + (late.attemptOut ? "one out" : "none out"));
-            fail(late);
-            event(null, now -> gateway.clientGone(now, late.request.id()));
-        }
-    }
-
-    /** The client left before its answer. */
-    void clientGone(OpenRequest gone) {
-        if (gone.answerOnce() != null) {
-            log.count(NodeLog.Event.CLIENT_LEFT);
-            settle(gone);
-            event(gone, now -> gateway.clientGone(now, gone.request.id()));
-        }
-    }
-
-    /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
-    void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
-        of.attemptOut = false;
-        guard.attemptEnded(of, outcome, now() - took);
-        int attempt = of.attempts - 1;
-        if (outcome == Outcome.OK) {
-            OpenRequest.Answers answers = of.answerOnce();
-            if (answers != null) {
-                answers.served(body);
-            }
-        }
-        boolean complete = of.answered;
-        event(of, now -> gateway.attemptEnded(now,
-            new Result(of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
-        settle(of);
-    }
-
-    private void counted(long name, Outcome outcome, double total) {
-        event(null, now -> gateway.counted(now, name, outcome, total));
-    }
-
-    /** Forgets a request once it is answered and no attempt of it is out. */
-    private void settle(OpenRequest of) {
-        if (of.answered && !of.attemptOut && open.remove(of.request.id(), of)) {
-            of.overdue.cancel(false);
-            budget.change(-of.body.readableBytes());
-            of.body.release();
-        }
-    }
-
-    @Override
-    public void send(String id, String server, long patience) {
-        OpenRequest of = open.get(id);
-        if (of != null && !of.attemptOut && !of.awaited()) {
-            fail(of);
-        }
-        if (of != null && of.answered) {
-            log.count(NodeLog.Event.ATTEMPT_WITHHELD);
-        }
-        if (of == null || of.answered || !guard.maySend(of, classOf(of), now())) {
-            // It may not go out, but the module counts it as out until it hears how it ended.
-            Result moot = new Result(id, Outcome.NOT_SENT, 0, server, of == null || of.answered, 0, 0, List.of());
-            loop.execute(() -> event(null, now -> gateway.attemptEnded(now, moot)));
-            return;
-        }
-        if (of.attempts > 0) {
-            log.count(NodeLog.Event.RETRIED);
-        }
-        of.attempts++;
-        of.attemptOut = true;
-        // The module counts from its event's clock; the loop may have been held since.
-        pool.send(of, server, Math.max(MS, patience - (now() - eventAt)));
-    }
-
-    private RequestClass classOf(OpenRequest of) {
-        return config.settings().classes().get(of.request.requestClass());
-    }
-
-    @Override
-    public void refuse(String id, long retryAfter) {
-        OpenRequest of = open.get(id);
-        OpenRequest.Answers answers = of == null ? null : of.answerOnce();
-        if (answers != null) {
-            log.count(NodeLog.Event.REFUSED);
-            answers.refused(retryAfter);
-            settle(of);
-        }
-    }
-
-    @Override
-    public void fail(String id) {
-        OpenRequest of = open.get(id);
-        if (of != null) {
-            fail(of);
-        }
-    }
-
-    private void fail(OpenRequest of) {
-        OpenRequest.Answers answers = of.answerOnce();
-        if (answers != null) {
-            log.request(NodeLog.Event.FAILED, of.request.id(), "after " + of.attempts + " attempts");
-            answers.failed();
-            settle(of);
-        }
-    }
-
-    @Override
-    public void probe(String server) {
-        // The site does not allow it, and the module asks only where the settings do.
-    }
-
-    @Override
-    public void count(long name, double amount, long lifetime) {
-        counter.count(name, amount, lifetime);
-    }
-
-    @Override
-    public void timer(long token, long span) {
-        loop.schedule(() -> event(null, now -> gateway.timer(now, token)), span, TimeUnit.NANOSECONDS);
-    }
-
-    @Override
-    public void watchList() {
-        // Discovery is watched from the start and again whenever a watch ends.
-    }
-
-    @Override
-    public void log(String text) {
-        log.line(text);
-    }
+    return done;
+  }
+
+  @Override
+  public void close() {
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+  }
+
+  long now() {
+    return at(System.nanoTime());
+  }
+
+  /** A moment of the system's clock that never jumps, by the module's. */
+  long at(long nanoTime) {
+    return nanoTime + clockOffset;
+  }
+
+  /** Whatever a socket brings now came after this moment, however long the loop was held since. */
+  long lookedBefore() {
+    return looks.before();
+  }
+
+  /**
+   * Runs one event of the module. Sockets may report within an action, that is within an event, and
+   * the module must not be entered twice: such a report waits for the loop.
+   */
+  private void event(OpenRequest about, LongConsumer call) {
+    if (inside) {
+      loop.execute(() -> event(about, call));
+      return;
+    }
+    inside = true;
+    eventAt = now();
+    try {
+      call.accept(eventAt);
+    } catch (RuntimeException e) {
+      // One request's trouble must not end the process, nor leave that request without an answer.
+      trouble("the module failed", e);
+      if (about != null) {
+        fail(about);
+        // The module must not go on counting it; an attempt that is out still ends.
+        loop.execute(() -> event(null, now -> gateway.clientGone(now, about.request.id())));
+      }
+    } finally {
+      inside = false;
+    }
+  }
+
+  static void trouble(String what, Throwable e) {
+    StackTraceElement[] at = e.getStackTrace();
+    System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
+  }
+
+  /** The list of app servers, or changes to it. */
+  void list(Config.Roll roll, ListKind kind) {
+    List<Server> told = pool.update(withMonotonicStarts(roll), kind != ListKind.DELTA);
+    event(null, now -> gateway.list(now, kind, told));
+  }
+
+  private Config.Roll withMonotonicStarts(Config.Roll roll) {
+    lookAtClocks();
+    long now = now();
+    List<Config.Member> members = new ArrayList<>();
+    Set<String> named = new HashSet<>();
+    for (Config.Member member : roll.members()) {
+      Server server = member.server();
+      named.add(server.id());
+      long started = startTimes.momentOf(server.id(), server.startedAt(), now);
+      members.add(new Config.Member(server.startingAt(started), member.address()));
+      if (server.readiness() == Readiness.GONE) {
+        startTimes.forget(server.id());
+      }
+    }
+    if (roll.complete()) {
+      startTimes.retain(named);
+    }
+    return new Config.Roll(roll.revision(), roll.complete(), members);
+  }
+
+  private void lookAtClocks() {
+    startTimes.look(now(), System.currentTimeMillis() * MS);
+  }
+
+  /**
+   * Whether discovery has been heard, or has been silent for so long that the known list must do.
+   */
+  boolean ready() {
+    return discovery.heard();
+  }
+
+  /** The deadline that the module is told, for a client that waits {@code span} from now. */
+  long deadline(long now, long span) {
+    long margin = Math.max(WAY_OUT, Math.min((long) (HELD / config.cores()), span / MARGIN_PART));
+    return now + Math.max(MS, span - margin);
+  }
+
+  /** Takes a request; false if its id is that of one still open. */
+  boolean take(OpenRequest taken) {
+    if (open.putIfAbsent(taken.request.id(), taken) != null) {
+      return false;
+    }
+    long left = taken.request.deadline() + LATE_MODULE - now();
+    // The backstop for a module that is late: no request may be left without an answer.
+    taken.overdue = loop.schedule(() -> overdue(taken), Math.max(0, left), TimeUnit.NANOSECONDS);
+    budget.change(taken.body.readableBytes());
+    event(taken, now -> gateway.request(now, taken.request));
+    return true;
+  }
+
+  private void overdue(OpenRequest late) {
+    if (!late.answered) {
+      log.request(
+          NodeLog.Event.OVERDUE,
+          late.request.id(),
+          late.attempts + " attempts, " + (late.attemptOut ? "one out" : "none out"));
+      fail(late);
+      event(null, now -> gateway.clientGone(now, late.request.id()));
+    }
+  }
+
+  /** The client left before its answer. */
+  void clientGone(OpenRequest gone) {
+    if (gone.answerOnce() != null) {
+      log.count(NodeLog.Event.CLIENT_LEFT);
+      settle(gone);
+      event(gone, now -> gateway.clientGone(now, gone.request.id()));
+    }
+  }
+
+  /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
+  void attemptEnded(
+      OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
+    of.attemptOut = false;
+    guard.attemptEnded(of, outcome, now() - took);
+    int attempt = of.attempts - 1;
+    if (outcome == Outcome.OK) {
+      OpenRequest.Answers answers = of.answerOnce();
+      if (answers != null) {
+        answers.served(body);
+      }
+    }
+    boolean complete = of.answered;
+    event(
+        of,
+        now ->
+            gateway.attemptEnded(
+                now,
+                new Result(
+                    of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
+    settle(of);
+  }
+
+  private void counted(long name, Outcome outcome, double total) {
+    event(null, now -> gateway.counted(now, name, outcome, total));
+  }
+
+  /** Forgets a request once it is answered and no attempt of it is out. */
+  private void settle(OpenRequest of) {
+    if (of.answered && !of.attemptOut && open.remove(of.request.id(), of)) {
+      of.overdue.cancel(false);
+      budget.change(-of.body.readableBytes());
+      of.body.release();
+    }
+  }
+
+  @Override
+  public void send(String id, String server, long patience) {
+    OpenRequest of = open.get(id);
+    if (of != null && !of.attemptOut && !of.awaited()) {
+      fail(of);
+    }
+    if (of != null && of.answered) {
+      log.count(NodeLog.Event.ATTEMPT_WITHHELD);
+    }
+    if (of == null || of.answered || !guard.maySend(of, classOf(of), now())) {
+      // It may not go out, but the module counts it as out until it hears how it ended.
+      Result moot =
+          new Result(id, Outcome.NOT_SENT, 0, server, of == null || of.answered, 0, 0, List.of());
+      loop.execute(() -> event(null, now -> gateway.attemptEnded(now, moot)));
+      return;
+    }
+    if (of.attempts > 0) {
+      log.count(NodeLog.Event.RETRIED);
+    }
+    of.attempts++;
+    of.attemptOut = true;
+    // The module counts from its event's clock; the loop may have been held since.
+    pool.send(of, server, Math.max(MS, patience - (now() - eventAt)));
+  }
+
+  private RequestClass classOf(OpenRequest of) {
+    return config.settings().classes().get(of.request.requestClass());
+  }
+
+  @Override
+  public void refuse(String id, long retryAfter) {
+    OpenRequest of = open.get(id);
+    OpenRequest.Answers answers = of == null ? null : of.answerOnce();
+    if (answers != null) {
+      log.count(NodeLog.Event.REFUSED);
+      answers.refused(retryAfter);
+      settle(of);
+    }
+  }
+
+  @Override
+  public void fail(String id) {
+    OpenRequest of = open.get(id);
+    if (of != null) {
+      fail(of);
+    }
+  }
+
+  private void fail(OpenRequest of) {
+    OpenRequest.Answers answers = of.answerOnce();
+    if (answers != null) {
+      log.request(NodeLog.Event.FAILED, of.request.id(), "after " + of.attempts + " attempts");
+      answers.failed();
+      settle(of);
+    }
+  }
+
+  @Override
+  public void probe(String server) {
+    // The site does not allow it, and the module asks only where the settings do.
+  }
+
+  @Override
+  public void count(long name, double amount, long lifetime) {
+    counter.count(name, amount, lifetime);
+  }
+
+  @Override
+  public void timer(long token, long span) {
+    loop.schedule(() -> event(null, now -> gateway.timer(now, token)), span, TimeUnit.NANOSECONDS);
+  }
+
+  @Override
+  public void watchList() {
+    // Discovery is watched from the start and again whenever a watch ends.
+  }
+
+  @Override
+  public void log(String text) {
+    log.line(text);
+  }
 }
--- a/src/main/java/merlinrouter/node/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/InvariantGuard.java
@@ -5,54 +5,58 @@
 import merlinrouter.Ports.RequestClass;
 
 /**
- * The last check before an attempt begins, a request is repeated or a client's connection is closed. What would break a
- * rule is not carried out, counted as a violation and told with the request's id: a violation is a fault of this
- * program, since whoever decides should not have asked for it. Used on the event loop only.
+ * The last check before an attempt begins, a request is repeated or a client's connection is
+ * closed. What would break a rule is not carried out, counted as a violation and told with the
+ * request's id: a violation is a fault of this program, since whoever decides should not have asked
+ * for it. Used on the event loop only.
  */
 final class InvariantGuard {
-    private final NodeLog log;
+  private final NodeLog log;
 
-    InvariantGuard(NodeLog log) {
-        this.log = log;
-    }
+  InvariantGuard(NodeLog log) {
+    this.log = log;
+  }
 
-    /**
-     * Whether an attempt may begin.
-     *
-     * @param request what is to be sent
-     * @param spec its class
-     * @param now the node's clock, in nanoseconds
-     */
-    boolean maySend(OpenRequest request, RequestClass spec, long now) {
-        String broken = null;
-        if (request.attemptOut) {
-            broken = "an attempt would begin while another is out";
-        } else if (request.mayHaveRun && spec.repeat() == Repeat.UNSAFE) {
-            broken = "an unsafe request that may have run would be sent again";
-        } else if (request.mayHaveRun && spec.repeat() == Repeat.KEYED
-            && now - request.firstMayHaveRunAt > spec.keyWindow()) {
-            broken = "a keyed request would be sent again behind its key's window";
-        }
-        if (broken != null) {
-            log.violation(request.request.id(), broken);
-        }
-        return broken == null;
+  /**
+   * Whether an attempt may begin.
+   *
+   * @param request what is to be sent
+   * @param spec its class
+   * @param now the node's clock, in nanoseconds
+   */
+  boolean maySend(OpenRequest request, RequestClass spec, long now) {
+    String broken = null;
+    if (request.attemptOut) {
+      broken = "an attempt would begin while another is out";
+    } else if (request.mayHaveRun && spec.repeat() == Repeat.UNSAFE) {
+      broken = "an unsafe request that may have run would be sent again";
+    } else if (request.mayHaveRun
+        && spec.repeat() == Repeat.KEYED
+        && now - request.firstMayHaveRunAt > spec.keyWindow()) {
+      broken = "a keyed request would be sent again behind its key's window";
+    }
+    if (broken != null) {
+      log.violation(request.request.id(), broken);
     }
+    return broken == null;
+  }
 
-    /** Notes the end of an attempt that began at {@code begunAt} of the node's clock, in nanoseconds. */
-    void attemptEnded(OpenRequest request, Outcome outcome, long begunAt) {
-        if (!outcome.provesNeverRan() && !request.mayHaveRun) {
-            request.mayHaveRun = true;
-            request.firstMayHaveRunAt = begunAt;
-        }
+  /**
+   * Notes the end of an attempt that began at {@code begunAt} of the node's clock, in nanoseconds.
+   */
+  void attemptEnded(OpenRequest request, Outcome outcome, long begunAt) {
+    if (!outcome.provesNeverRan() && !request.mayHaveRun) {
+      request.mayHaveRun = true;
+      request.firstMayHaveRunAt = begunAt;
     }
+  }
 
-    /** Whether a client's connection may be closed unasked: not over a request that was read. */
-    boolean mayClose(OpenRequest open, String why) {
-        if (open == null) {
-            return true;
-        }
-        log.violation(open.request.id(), "its connection would be closed without an answer, " + why);
-        return false;
+  /** Whether a client's connection may be closed unasked: not over a request that was read. */
+  boolean mayClose(OpenRequest open, String why) {
+    if (open == null) {
+      return true;
     }
+    log.violation(open.request.id(), "its connection would be closed without an answer, " + why);
+    return false;
+  }
 }
--- a/src/main/java/merlinrouter/node/Looks.java
+++ b/src/main/java/merlinrouter/node/Looks.java
@@ -3,19 +3,22 @@
 import io.netty.channel.SelectStrategy;
 import io.netty.util.IntSupplier;
 
-/** When the loop last looked at its sockets: the codec's strategy of looking, which also takes the time. */
+/**
+ * When the loop last looked at its sockets: the codec's strategy of looking, which also takes the
+ * time.
+ */
 final class Looks implements SelectStrategy {
-    private long before = System.nanoTime(), last = before;
+  private long before = System.nanoTime(), last = before;
 
-    @Override
-    public int calculateStrategy(IntSupplier lookNow, boolean hasTasks) throws Exception {
-        before = last;
-        last = System.nanoTime();
-        return hasTasks ? lookNow.get() : SelectStrategy.SELECT;
-    }
+  @Override
+  public int calculateStrategy(IntSupplier lookNow, boolean hasTasks) throws Exception {
+    before = last;
+    last = System.nanoTime();
+    return hasTasks ? lookNow.get() : SelectStrategy.SELECT;
+  }
 
-    /** What the present look brought was not there yet when the one before it began. */
-    long before() {
-        return before;
-    }
+  /** What the present look brought was not there yet when the one before it began. */
+  long before() {
+    return before;
+  }
 }
--- a/src/main/java/merlinrouter/node/Main.java
+++ b/src/main/java/merlinrouter/node/Main.java
@@ -10,106 +10,121 @@
 import java.util.logging.Logger;
 import merlinrouter.simulator.SimulatorAdapter;
 
-/** The program: {@code serve} runs a real edge node, {@code simulate} the decisions on the simulator's wire. */
+/**
+ * The program: {@code serve} runs a real edge node, {@code simulate} the decisions on the
+ * simulator's wire.
+ */
 public final class Main {
-    /** How long a start's rehearsal is: so many requests, or so many milliseconds where these take longer. */
-    private static final int REHEARSED = 1_000;
-    private static final long REHEARSAL_MS = 2_000;
+  /**
+   * How long a start's rehearsal is: so many requests, or so many milliseconds where these take
+   * longer.
+   */
+  private static final int REHEARSED = 1_000;
 
-    private Main() {
-    }
+  private static final long REHEARSAL_MS = 2_000;
 
-    /** Picks the word. */
-    public static void main(String[] args) {
-        switch (args.length == 1 ? args[0] : "") {
-            case "serve" -> serve(System.getenv("GW_CONFIG"));
-            case "simulate" -> SimulatorAdapter.main(args);
-            default -> exit(2, "usage: merlinrouter.jar serve|simulate");
-        }
-    }
+  private Main() {}
 
-    private static void serve(String file) {
-        if (file == null || file.isEmpty()) {
-            exit(2, "GW_CONFIG must name the configuration file");
-            return;
-        }
-        // Said outright, or Netty looks for the other libraries first, which takes a part of the start.
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        for (Handler handler : Logger.getLogger("").getHandlers()) {
-            handler.setFormatter(new PlainLines());
-        }
-        try {
-            ConfigFile configuration = new ConfigFile(Path.of(file));
-            AtomicReference<EdgeNode> serving = new AtomicReference<>();
-            AtomicInteger hangups = new AtomicInteger();
-            onHangup(() -> {
-                hangups.incrementAndGet();
-                reload(serving.get(), configuration);
-            });
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(serving.get()), "stop"));
-            String folder = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
-            long begun = System.nanoTime();
-            int rehearsed = Rehearsal.hold(configuration.read(), REHEARSED, REHEARSAL_MS, Path.of(folder));
-            System.out.println("rehearsed with " + rehearsed + " requests in "
-                + (System.nanoTime() - begun) / 1_000_000 + " ms");
-            // The file is read again: a signal may have come meanwhile, or come while it is read.
-            int before = hangups.get();
-            // What the start leaves is moved out of the way now: the first collection under load would have to move it
-            // all, page by page that was never touched, and hold the loop for that long.
-            System.gc();
-            EdgeNode node = new EdgeNode(configuration.read());
-            serving.set(node);
-            if (hangups.get() != before) {
-                reload(node, configuration);
-            }
-            node.start();
-            System.out.println("serving on " + node.address());
-        } catch (Config.Invalid | Config.Unreadable e) {
-            exit(1, e.getMessage());
-        } catch (Exception e) {
-            exit(1, "cannot start: " + e.getMessage());
-        }
+  /** Picks the word. */
+  public static void main(String[] args) {
+    switch (args.length == 1 ? args[0] : "") {
+      case "serve" -> serve(System.getenv("GW_CONFIG"));
+      case "simulate" -> SimulatorAdapter.main(args);
+      default -> exit(2, "usage: merlinrouter.jar serve|simulate");
     }
+  }
 
-    /**
-     * Java has no public way to hear of a signal, and without a handler this one ends the JVM. The compiler's
-     * word on this interface cannot be turned off; it is no lint.
-     */
-    private static void onHangup(Runnable then) {
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
+  private static void serve(String file) {
+    if (file == null || file.isEmpty()) {
+      exit(2, "GW_CONFIG must name the configuration file");
+      return;
     }
-
-    /** A file that cannot be used costs one line; the settings that the node has stay as they are. */
-    private static void reload(EdgeNode node, ConfigFile configuration) {
-        if (node == null) {
-            System.out.println("the configuration will be read again for the start");
-            return;
-        }
-        try {
-            // One at a time: signals may follow each other faster than the file is read.
-            synchronized (node) {
-                node.reload(configuration.readAgain());
-            }
-            System.out.println("configuration read again");
-        } catch (Exception e) {
-            System.err.println("the configuration stays as it was: " + e.getMessage());
-        }
+    // Said outright, or Netty looks for the other libraries first, which takes a part of the start.
+    InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+    for (Handler handler : Logger.getLogger("").getHandlers()) {
+      handler.setFormatter(new PlainLines());
+    }
+    try {
+      ConfigFile configuration = new ConfigFile(Path.of(file));
+      AtomicReference<EdgeNode> serving = new AtomicReference<>();
+      AtomicInteger hangups = new AtomicInteger();
+      onHangup(
+          () -> {
+            hangups.incrementAndGet();
+            reload(serving.get(), configuration);
+          });
+      Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(serving.get()), "stop"));
+      String folder = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
+      long begun = System.nanoTime();
+      int rehearsed =
+          Rehearsal.hold(configuration.read(), REHEARSED, REHEARSAL_MS, Path.of(folder));
+      System.out.println(
+          "rehearsed with "
+              + rehearsed
+              + " requests in "
+              + (System.nanoTime() - begun) / 1_000_000
+              + " ms");
+      // The file is read again: a signal may have come meanwhile, or come while it is read.
+      int before = hangups.get();
+      // What the start leaves is moved out of the way now: the first collection under load would
+      // have to move it
+      // all, page by page that was never touched, and hold the loop for that long.
+      System.gc();
+      EdgeNode node = new EdgeNode(configuration.read());
+      serving.set(node);
+      if (hangups.get() != before) {
+        reload(node, configuration);
+      }
+      node.start();
+      System.out.println("serving on " + node.address());
+    } catch (Config.Invalid | Config.Unreadable e) {
+      exit(1, e.getMessage());
+    } catch (Exception e) {
+      exit(1, "cannot start: " + e.getMessage());
     }
+  }
 
-    /** Ends a planned restart with 0: the platform reads any other status as a failure of the node. */
-    private static void stop(EdgeNode node) {
-        try {
-            if (node != null) {
-                node.drain().get(1, TimeUnit.MINUTES);
-            }
-            Runtime.getRuntime().halt(0);
-        } catch (Exception e) {
-            System.err.println("the drain did not end: " + e);
-        }
+  /**
+   * Java has no public way to hear of a signal, and without a handler this one ends the JVM. The
+   * compiler's word on this interface cannot be turned off; it is no lint.
+   */
+  private static void onHangup(Runnable then) {
+    sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
+  }
+
+  /** A file that cannot be used costs one line; the settings that the node has stay as they are. */
+  private static void reload(EdgeNode node, ConfigFile configuration) {
+    if (node == null) {
+      System.out.println("the configuration will be read again for the start");
+      return;
+    }
+    try {
+      // One at a time: signals may follow each other faster than the file is read.
+      synchronized (node) {
+        node.reload(configuration.readAgain());
+      }
+      System.out.println("configuration read again");
+    } catch (Exception e) {
+      System.err.println("the configuration stays as it was: " + e.getMessage());
     }
+  }
 
-    private static void exit(int status, String line) {
-        System.err.println(line);
-        Runtime.getRuntime().halt(status);
+  /**
+   * Ends a planned restart with 0: the platform reads any other status as a failure of the node.
+   */
+  private static void stop(EdgeNode node) {
+    try {
+      if (node != null) {
+        node.drain().get(1, TimeUnit.MINUTES);
+      }
+      Runtime.getRuntime().halt(0);
+    } catch (Exception e) {
+      System.err.println("the drain did not end: " + e);
     }
+  }
+
+  private static void exit(int status, String line) {
+    System.err.println(line);
+    Runtime.getRuntime().halt(status);
+  }
 }
--- a/src/main/java/merlinrouter/node/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/OpenRequest.java
@@ -7,56 +7,69 @@
 
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
 final class OpenRequest {
-    /** Where the one final answer goes; told on the loop only. */
-    interface Answers {
-        /** Passes on an app server's answer; the buffer stays the caller's. */
-        void served(ByteBuf body);
+  /** Where the one final answer goes; told on the loop only. */
+  interface Answers {
+    /** Passes on an app server's answer; the buffer stays the caller's. */
+    void served(ByteBuf body);
 
-        /** Says that trying again is harmless; {@code retryAfter} nanoseconds from now, 0 for no advice. */
-        void refused(long retryAfter);
+    /**
+     * Says that trying again is harmless; {@code retryAfter} nanoseconds from now, 0 for no advice.
+     */
+    void refused(long retryAfter);
 
-        /** Says that it failed, with no promise about the effect. */
-        void failed();
+    /** Says that it failed, with no promise about the effect. */
+    void failed();
 
-        /** Looks whether the client has left, or has sent so much ahead that its leaving may have gone unseen. */
-        boolean hasLeft();
-    }
+    /**
+     * Looks whether the client has left, or has sent so much ahead that its leaving may have gone
+     * unseen.
+     */
+    boolean hasLeft();
+  }
 
-    final Request request;
-    final HttpMethod method;
-    final String uri;
-    final String key;
-    final ByteBuf body;
-    private final Answers answers;
-    int attempts;
-    boolean attemptOut;
-    /** Whether an attempt has ended in a way that does not prove that it never ran, and when the first of these began. */
-    boolean mayHaveRun;
-    long firstMayHaveRunAt;
-    boolean answered;
-    Future<?> overdue;
-
-    /** Takes over the body. */
-    OpenRequest(Request request, HttpMethod method, String uri, String key, ByteBuf body, Answers answers) {
-        this.request = request;
-        this.method = method;
-        this.uri = uri;
-        this.key = key;
-        this.body = body;
-        this.answers = answers;
-    }
+  final Request request;
+  final HttpMethod method;
+  final String uri;
+  final String key;
+  final ByteBuf body;
+  private final Answers answers;
+  int attempts;
+  boolean attemptOut;
 
-    /** Whether an attempt may begin now: nobody waits for one whose client has left, seen or unseen. */
-    boolean awaited() {
-        return !answered && !answers.hasLeft();
-    }
+  /**
+   * Whether an attempt has ended in a way that does not prove that it never ran, and when the first
+   * of these began.
+   */
+  boolean mayHaveRun;
+
+  long firstMayHaveRunAt;
+  boolean answered;
+  Future<?> overdue;
+
+  /** Takes over the body. */
+  OpenRequest(
+      Request request, HttpMethod method, String uri, String key, ByteBuf body, Answers answers) {
+    this.request = request;
+    this.method = method;
+    this.uri = uri;
+    this.key = key;
+    this.body = body;
+    this.answers = answers;
+  }
+
+  /**
+   * Whether an attempt may begin now: nobody waits for one whose client has left, seen or unseen.
+   */
+  boolean awaited() {
+    return !answered && !answers.hasLeft();
+  }
 
-    /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
-    Answers answerOnce() {
-        if (answered) {
-            return null;
-        }
-        answered = true;
-        return answers;
+  /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
+  Answers answerOnce() {
+    if (answered) {
+      return null;
     }
+    answered = true;
+    return answers;
+  }
 }
--- a/src/main/java/merlinrouter/node/TcpServerChannel.java
+++ b/src/main/java/merlinrouter/node/TcpServerChannel.java
@@ -6,13 +6,13 @@
 
 /** The listening socket; its connections are {@link TcpChannel}s. */
 public final class TcpServerChannel extends NioServerSocketChannel {
-    @Override
-    protected int doReadMessages(List<Object> accepted) throws Exception {
-        SocketChannel connection = javaChannel().accept();
-        if (connection == null) {
-            return 0;
-        }
-        accepted.add(new TcpChannel(this, connection));
-        return 1;
+  @Override
+  protected int doReadMessages(List<Object> accepted) throws Exception {
+    SocketChannel connection = javaChannel().accept();
+    if (connection == null) {
+      return 0;
     }
+    accepted.add(new TcpChannel(this, connection));
+    return 1;
+  }
 }
--- a/src/main/java/merlinrouter/node/Transport.java
+++ b/src/main/java/merlinrouter/node/Transport.java
@@ -15,38 +15,46 @@
 import java.net.SocketException;
 import java.net.UnixDomainSocketAddress;
 
-/** The kind of socket that goes with an address: TCP, or a file's for a rehearsal that nobody else can reach. */
+/**
+ * The kind of socket that goes with an address: TCP, or a file's for a rehearsal that nobody else
+ * can reach.
+ */
 final class Transport {
-    private Transport() {
-    }
+  private Transport() {}
 
-    /** For connections to addresses of the kind of {@code like}. */
-    static Bootstrap connecting(EventLoop loop, SocketAddress like) {
-        Bootstrap bootstrap = new Bootstrap().group(loop);
-        return like instanceof UnixDomainSocketAddress ? bootstrap.channel(NioDomainSocketChannel.class)
-            : bootstrap.channelFactory(TcpChannel::new).option(ChannelOption.TCP_NODELAY, true);
-    }
+  /** For connections to addresses of the kind of {@code like}. */
+  static Bootstrap connecting(EventLoop loop, SocketAddress like) {
+    Bootstrap bootstrap = new Bootstrap().group(loop);
+    return like instanceof UnixDomainSocketAddress
+        ? bootstrap.channel(NioDomainSocketChannel.class)
+        : bootstrap.channelFactory(TcpChannel::new).option(ChannelOption.TCP_NODELAY, true);
+  }
 
-    /** For listening at an address of the kind of {@code like}. */
-    static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
-        ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
-        return like instanceof UnixDomainSocketAddress ? bootstrap.channel(NioServerDomainSocketChannel.class)
-            : bootstrap.channelFactory(TcpServerChannel::new).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true);
-    }
+  /** For listening at an address of the kind of {@code like}. */
+  static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
+    ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
+    return like instanceof UnixDomainSocketAddress
+        ? bootstrap.channel(NioServerDomainSocketChannel.class)
+        : bootstrap
+            .channelFactory(TcpServerChannel::new)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .childOption(ChannelOption.TCP_NODELAY, true);
+  }
 
-    /**
-     * Whether a connect has a channel at all. Where the process could make no socket the library hands out a stand-in
-     * that cannot even be closed, and tells its listeners on a thread of its own.
-     */
-    static boolean hasChannel(ChannelFuture connecting) {
-        return connecting.channel() instanceof AbstractNioChannel;
-    }
+  /**
+   * Whether a connect has a channel at all. Where the process could make no socket the library
+   * hands out a stand-in that cannot even be closed, and tells its listeners on a thread of its
+   * own.
+   */
+  static boolean hasChannel(ChannelFuture connecting) {
+    return connecting.channel() instanceof AbstractNioChannel;
+  }
 
-    /** Whether a connect failed in this process, before anything went to the peer. */
-    static boolean isLocalFailure(Throwable cause) {
-        return cause instanceof ChannelException
-            || cause instanceof SocketException && !(cause instanceof ConnectException)
-                && !(cause instanceof NoRouteToHostException);
-    }
+  /** Whether a connect failed in this process, before anything went to the peer. */
+  static boolean isLocalFailure(Throwable cause) {
+    return cause instanceof ChannelException
+        || cause instanceof SocketException
+            && !(cause instanceof ConnectException)
+            && !(cause instanceof NoRouteToHostException);
+  }
 }
--- a/src/test/java/merlinrouter/SlowStartTest.java
+++ b/src/test/java/merlinrouter/SlowStartTest.java
@@ -1,9 +1,9 @@
 package merlinrouter;
 
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static merlinrouter.Host.FREE;
 import static merlinrouter.Host.MS;
 import static merlinrouter.Host.SAFE;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,164 +11,182 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
 import merlinrouter.Ports.Outcome;
 import merlinrouter.Ports.Readiness;
 import merlinrouter.Ports.Result;
+import org.junit.jupiter.api.Test;
 
 /**
- * Slow start is budgeted for the fleet: a cold server falls under the sum of what all gateways send, each of which
- * knows its own part only. All that varies comes from seeds.
+ * Slow start is budgeted for the fleet: a cold server falls under the sum of what all gateways
+ * send, each of which knows its own part only. All that varies comes from seeds.
  */
 class SlowStartTest {
-    /** As the tests' settings say: from a quarter, warm after 10 s, falls over three times that for 2 s. */
-    private static final double FROM = 0.25, MULTIPLE = 3;
-    private static final long WARM = 10_000 * MS, SPAN = 2_000 * MS, WORK = 100 * MS, STEP = 10 * MS;
-    /** What a warm server does: so many requests of mean work at once. */
-    private static final int SLOTS = 2;
-
-    /** A fleet on one clock, whose servers answer each request after its work. */
-    private static final class Fleet {
-        private final List<Host> hosts = new ArrayList<>();
-        private final List<Deque<Host.Sent>> out = new ArrayList<>();
-        private final List<Deque<Long>> due = new ArrayList<>();
-        private final int[] taken;
-        private final List<Long> toCold = new ArrayList<>();
-        private final SplittableRandom random = new SplittableRandom(11);
-        private long served, begun;
-
-        Fleet(int gateways) {
-            taken = new int[gateways];
-            for (int i = 0; i < gateways; i++) {
-                hosts.add(new Host(FREE, gateways, i, false, 100 + i, false));
-                out.add(new ArrayDeque<>());
-                due.add(new ArrayDeque<>());
-            }
-        }
+  /**
+   * As the tests' settings say: from a quarter, warm after 10 s, falls over three times that for 2
+   * s.
+   */
+  private static final double FROM = 0.25, MULTIPLE = 3;
 
-        long now() {
-            return hosts.get(0).now;
-        }
+  private static final long WARM = 10_000 * MS, SPAN = 2_000 * MS, WORK = 100 * MS, STEP = 10 * MS;
 
-        void servers(String prefix, int count, long startedAt) {
-            for (Host host : hosts) {
-                for (int i = 0; i < count; i++) {
-                    host.server(prefix + i, 0, Readiness.READY, startedAt);
-                }
-            }
-        }
+  /** What a warm server does: so many requests of mean work at once. */
+  private static final int SLOTS = 2;
 
-        /** So many requests a second over all gateways, by chance, for a span. */
-        void ask(double rate, long span) {
-            for (long until = now() + span; now() < until;) {
-                double expected = rate * STEP / 1e9;
-                for (; expected > 0 && random.nextDouble() < expected; expected--) {
-                    hosts.get(random.nextInt(hosts.size())).request(SAFE, 1);
-                    begun++;
-                }
-                step();
-            }
-        }
+  /** A fleet on one clock, whose servers answer each request after its work. */
+  private static final class Fleet {
+    private final List<Host> hosts = new ArrayList<>();
+    private final List<Deque<Host.Sent>> out = new ArrayList<>();
+    private final List<Deque<Long>> due = new ArrayList<>();
+    private final int[] taken;
+    private final List<Long> toCold = new ArrayList<>();
+    private final SplittableRandom random = new SplittableRandom(11);
+    private long served, begun;
 
-        /** One request at each gateway, all in the same moment. */
-        void burst() {
-            for (Host host : hosts) {
-                host.request(SAFE, 1);
-                begun++;
-            }
-            step();
-        }
+    Fleet(int gateways) {
+      taken = new int[gateways];
+      for (int i = 0; i < gateways; i++) {
+        hosts.add(new Host(FREE, gateways, i, false, 100 + i, false));
+        out.add(new ArrayDeque<>());
+        due.add(new ArrayDeque<>());
+      }
+    }
+
+    long now() {
+      return hosts.get(0).now;
+    }
 
-        private void step() {
-            for (int i = 0; i < hosts.size(); i++) {
-                Host host = hosts.get(i);
-                host.pass(STEP);
-                while (!due.get(i).isEmpty() && due.get(i).peek() <= host.now) {
-                    due.get(i).poll();
-                    Host.Sent sent = out.get(i).poll();
-                    served++;
-                    host.gateway.attemptEnded(host.now,
-                        new Result(sent.id(), Outcome.OK, WORK, sent.server(), true, 0, 0, List.of()));
-                }
-                for (; taken[i] < host.sent.size(); taken[i]++) {
-                    Host.Sent sent = host.sent.get(taken[i]);
-                    out.get(i).add(sent);
-                    due.get(i).add(host.now + WORK);
-                    if (sent.server().equals("cold0")) {
-                        toCold.add(host.now);
-                    }
-                }
-            }
+    void servers(String prefix, int count, long startedAt) {
+      for (Host host : hosts) {
+        for (int i = 0; i < count; i++) {
+          host.server(prefix + i, 0, Readiness.READY, startedAt);
         }
+      }
+    }
 
-        /** Holds each window's requests to the cold server against what it may get, and some for chance. */
-        void check(long startedAt) {
-            Collections.sort(toCold);
-            assertTrue(!toCold.isEmpty(), "a cold server must warm");
-            for (int first = 0, last = 0; last < toCold.size(); last++) {
-                while (toCold.get(last) - toCold.get(first) >= SPAN) {
-                    first++;
-                }
-                double age = Math.max(0, toCold.get(first) - startedAt) / (double) WARM;
-                double capacity = SLOTS * (FROM + (1 - FROM) * Math.min(1, age));
-                double budget = MULTIPLE * capacity * SPAN / WORK;
-                int got = last - first + 1;
-                assertTrue(got <= budget + 2 * Math.sqrt(budget) + 2, got + " within " + SPAN / MS
-                    + " ms, of a budget of " + budget + ", " + (toCold.get(first) - startedAt) / MS + " ms after the start");
-            }
+    /** So many requests a second over all gateways, by chance, for a span. */
+    void ask(double rate, long span) {
+      for (long until = now() + span; now() < until; ) {
+        double expected = rate * STEP / 1e9;
+        for (; expected > 0 && random.nextDouble() < expected; expected--) {
+          hosts.get(random.nextInt(hosts.size())).request(SAFE, 1);
+          begun++;
         }
+        step();
+      }
     }
 
-    @Test
-    void oneColdServerAmongWarmOnesHoldsUnderABusyFleetOf120() {
-        Fleet fleet = new Fleet(120);
-        fleet.servers("warm", 9, 0);
-        fleet.ask(150, 5_000 * MS);
-        long start = fleet.now();
-        fleet.servers("cold", 1, start);
-        fleet.ask(150, 10_000 * MS);
-        fleet.check(start);
+    /** One request at each gateway, all in the same moment. */
+    void burst() {
+      for (Host host : hosts) {
+        host.request(SAFE, 1);
+        begun++;
+      }
+      step();
     }
 
-    /** What each had saved up in a quiet spell, all once sent in the same moment. */
-    @Test
-    void aBurstBehindAQuietSpellDoesNotSpendWhatAllHaveSavedUp() {
-        Fleet fleet = new Fleet(120);
-        fleet.servers("warm", 3, 0);
-        fleet.ask(50, 5_000 * MS);
-        long start = fleet.now();
-        fleet.servers("cold", 1, start);
-        for (int i = 0; i < 4; i++) {
-            fleet.ask(60, 500 * MS);
-            fleet.ask(2, 1_500 * MS);
-            fleet.burst();
+    private void step() {
+      for (int i = 0; i < hosts.size(); i++) {
+        Host host = hosts.get(i);
+        host.pass(STEP);
+        while (!due.get(i).isEmpty() && due.get(i).peek() <= host.now) {
+          due.get(i).poll();
+          Host.Sent sent = out.get(i).poll();
+          served++;
+          host.gateway.attemptEnded(
+              host.now,
+              new Result(sent.id(), Outcome.OK, WORK, sent.server(), true, 0, 0, List.of()));
+        }
+        for (; taken[i] < host.sent.size(); taken[i]++) {
+          Host.Sent sent = host.sent.get(taken[i]);
+          out.get(i).add(sent);
+          due.get(i).add(host.now + WORK);
+          if (sent.server().equals("cold0")) {
+            toCold.add(host.now);
+          }
         }
-        fleet.check(start);
+      }
     }
 
-    /** With no warm one left each gateway once sent each cold one as much as it sends in all. */
-    @Test
-    void aFleetThatComesBackColdAsAWholeIsNotSentWhatAWarmOneBears() {
-        Fleet fleet = new Fleet(120);
-        fleet.servers("warm", 4, 0);
-        fleet.ask(70, 5_000 * MS);
-        long start = fleet.now();
-        for (Host host : fleet.hosts) {
-            host.gateway.list(host.now, Ports.ListKind.FULL, List.of());
+    /**
+     * Holds each window's requests to the cold server against what it may get, and some for chance.
+     */
+    void check(long startedAt) {
+      Collections.sort(toCold);
+      assertTrue(!toCold.isEmpty(), "a cold server must warm");
+      for (int first = 0, last = 0; last < toCold.size(); last++) {
+        while (toCold.get(last) - toCold.get(first) >= SPAN) {
+          first++;
         }
-        fleet.servers("cold", 4, start);
-        fleet.ask(120, 8_000 * MS);
-        fleet.check(start);
+        double age = Math.max(0, toCold.get(first) - startedAt) / (double) WARM;
+        double capacity = SLOTS * (FROM + (1 - FROM) * Math.min(1, age));
+        double budget = MULTIPLE * capacity * SPAN / WORK;
+        int got = last - first + 1;
+        assertTrue(
+            got <= budget + 2 * Math.sqrt(budget) + 2,
+            got
+                + " within "
+                + SPAN / MS
+                + " ms, of a budget of "
+                + budget
+                + ", "
+                + (toCold.get(first) - startedAt) / MS
+                + " ms after the start");
+      }
     }
+  }
 
-    /** A gateway that has just started had sent nothing yet, and so sent a cold server nothing ever. */
-    @Test
-    void gatewaysThatStartBesideColdServersOnlyServeAllTheSame() {
-        Fleet fleet = new Fleet(30);
-        long start = fleet.now();
-        fleet.servers("cold", 6, start);
-        fleet.ask(20, 8_000 * MS);
-        fleet.check(start);
-        assertTrue(fleet.served > fleet.begun / 8, "served " + fleet.served + " of " + fleet.begun);
+  @Test
+  void oneColdServerAmongWarmOnesHoldsUnderABusyFleetOf120() {
+    Fleet fleet = new Fleet(120);
+    fleet.servers("warm", 9, 0);
+    fleet.ask(150, 5_000 * MS);
+    long start = fleet.now();
+    fleet.servers("cold", 1, start);
+    fleet.ask(150, 10_000 * MS);
+    fleet.check(start);
+  }
+
+  /** What each had saved up in a quiet spell, all once sent in the same moment. */
+  @Test
+  void aBurstBehindAQuietSpellDoesNotSpendWhatAllHaveSavedUp() {
+    Fleet fleet = new Fleet(120);
+    fleet.servers("warm", 3, 0);
+    fleet.ask(50, 5_000 * MS);
+    long start = fleet.now();
+    fleet.servers("cold", 1, start);
+    for (int i = 0; i < 4; i++) {
+      fleet.ask(60, 500 * MS);
+      fleet.ask(2, 1_500 * MS);
+      fleet.burst();
+    }
+    fleet.check(start);
+  }
+
+  /** With no warm one left each gateway once sent each cold one as much as it sends in all. */
+  @Test
+  void aFleetThatComesBackColdAsAWholeIsNotSentWhatAWarmOneBears() {
+    Fleet fleet = new Fleet(120);
+    fleet.servers("warm", 4, 0);
+    fleet.ask(70, 5_000 * MS);
+    long start = fleet.now();
+    for (Host host : fleet.hosts) {
+      host.gateway.list(host.now, Ports.ListKind.FULL, List.of());
     }
+    fleet.servers("cold", 4, start);
+    fleet.ask(120, 8_000 * MS);
+    fleet.check(start);
+  }
+
+  /**
+   * A gateway that has just started had sent nothing yet, and so sent a cold server nothing ever.
+   */
+  @Test
+  void gatewaysThatStartBesideColdServersOnlyServeAllTheSame() {
+    Fleet fleet = new Fleet(30);
+    long start = fleet.now();
+    fleet.servers("cold", 6, start);
+    fleet.ask(20, 8_000 * MS);
+    fleet.check(start);
+    assertTrue(fleet.served > fleet.begun / 8, "served " + fleet.served + " of " + fleet.begun);
+  }
 }
--- a/src/test/java/merlinrouter/node/Peer.java
+++ b/src/test/java/merlinrouter/node/Peer.java
@@ -14,101 +14,110 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain sockets. */
+/**
+ * A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain
+ * sockets.
+ */
 final class Peer implements AutoCloseable {
-    /** What came: the request line, the headers by lower-case name, the body. */
-    record Message(String first, Map<String, String> headers, String body, Socket socket) {
-        void answer(String text) throws IOException {
-            socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-            socket.getOutputStream().flush();
-        }
+  /** What came: the request line, the headers by lower-case name, the body. */
+  record Message(String first, Map<String, String> headers, String body, Socket socket) {
+    void answer(String text) throws IOException {
+      socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+      socket.getOutputStream().flush();
     }
+  }
 
-    /** What a peer does with a message; it may answer, close the connection, or keep silent. */
-    interface Script {
-        void on(Message message) throws IOException, InterruptedException;
-    }
+  /** What a peer does with a message; it may answer, close the connection, or keep silent. */
+  interface Script {
+    void on(Message message) throws IOException, InterruptedException;
+  }
 
-    final BlockingQueue<Message> seen = new LinkedBlockingQueue<>();
-    final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
-    private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  final BlockingQueue<Message> seen = new LinkedBlockingQueue<>();
+  final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+  private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    Peer(Script script) throws IOException {
-        daemon(() -> {
-            while (true) {
-                Socket socket = listening.accept();
-                daemon(() -> {
-                    for (Message m = read(socket); m != null; m = read(socket)) {
-                        seen.add(m);
-                        script.on(m);
-                    }
-                    ended.add(socket);
+  Peer(Script script) throws IOException {
+    daemon(
+        () -> {
+          while (true) {
+            Socket socket = listening.accept();
+            daemon(
+                () -> {
+                  for (Message m = read(socket); m != null; m = read(socket)) {
+                    seen.add(m);
+                    script.on(m);
+                  }
+                  ended.add(socket);
                 });
-            }
+          }
         });
-    }
+  }
 
-    private interface Work {
-        void run() throws IOException, InterruptedException;
-    }
+  private interface Work {
+    void run() throws IOException, InterruptedException;
+  }
 
-    private static void daemon(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
+  private static void daemon(Work work) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
                 work.run();
-            } catch (IOException | InterruptedException e) {
+              } catch (IOException | InterruptedException e) {
                 // The other side or the test is over.
-            }
-        });
-        thread.setDaemon(true);
-        thread.start();
-    }
+              }
+            });
+    thread.setDaemon(true);
+    thread.start();
+  }
 
-    String address() {
-        return "127.0.0.1:" + listening.getLocalPort();
-    }
+  String address() {
+    return "127.0.0.1:" + listening.getLocalPort();
+  }
 
-    Message next() throws InterruptedException {
-        Message message = seen.poll(30, TimeUnit.SECONDS);
-        if (message == null) {
-            throw new AssertionError("nothing came");
-        }
-        return message;
+  Message next() throws InterruptedException {
+    Message message = seen.poll(30, TimeUnit.SECONDS);
+    if (message == null) {
+      throw new AssertionError("nothing came");
     }
+    return message;
+  }
 
-    static String ok(String headers, String body) {
-        return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
-    }
+  static String ok(String headers, String body) {
+    return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+  }
 
-    /** Reads one message; null at the connection's end. */
-    static Message read(Socket socket) throws IOException {
-        InputStream in = socket.getInputStream();
-        String first = line(in);
-        if (first == null) {
-            return null;
-        }
-        Map<String, String> headers = new TreeMap<>();
-        for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
-            int colon = header.indexOf(':');
-            headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
-        }
-        int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-        return new Message(first, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
+  /** Reads one message; null at the connection's end. */
+  static Message read(Socket socket) throws IOException {
+    InputStream in = socket.getInputStream();
+    String first = line(in);
+    if (first == null) {
+      return null;
     }
-
-    private static String line(InputStream in) throws IOException {
-        ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int b = in.read(); b != '\n'; b = in.read()) {
-            if (b < 0) {
-                return null;
-            }
-            line.write(b);
-        }
-        return line.toString(StandardCharsets.UTF_8).trim();
+    Map<String, String> headers = new TreeMap<>();
+    for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+      int colon = header.indexOf(':');
+      headers.put(
+          header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
     }
+    int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+    return new Message(
+        first, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
+  }
 
-    @Override
-    public void close() throws IOException {
-        listening.close();
+  private static String line(InputStream in) throws IOException {
+    ByteArrayOutputStream line = new ByteArrayOutputStream();
+    for (int b = in.read(); b != '\n'; b = in.read()) {
+      if (b < 0) {
+        return null;
+      }
+      line.write(b);
     }
+    return line.toString(StandardCharsets.UTF_8).trim();
+  }
+
+  @Override
+  public void close() throws IOException {
+    listening.close();
+  }
 }
--- a/src/test/java/merlinrouter/node/RehearsalTest.java
+++ b/src/test/java/merlinrouter/node/RehearsalTest.java
@@ -17,63 +17,72 @@
 
 /** What a node does before it serves, and that nobody but itself hears of it. */
 class RehearsalTest extends Stage {
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private long left() throws Exception {
-        try (Stream<Path> files = Files.list(folder)) {
-            return files.count();
-        }
+  private long left() throws Exception {
+    try (Stream<Path> files = Files.list(folder)) {
+      return files.count();
     }
+  }
 
-    @Test
-    void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "real")));
-        Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
-        assertTrue(Rehearsal.hold(config, 200, 60_000, folder) > 100);
-        assertNull(server.seen.poll());
-        assertNull(counter.seen.poll());
-        assertNull(discovery.seen.poll());
-        assertEquals(0, left(), "it must leave no file");
-    }
+  @Test
+  void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
+    Peer server = peer(m -> m.answer(Peer.ok("", "real")));
+    Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
+    assertTrue(Rehearsal.hold(config, 200, 60_000, folder) > 100);
+    assertNull(server.seen.poll());
+    assertNull(counter.seen.poll());
+    assertNull(discovery.seen.poll());
+    assertEquals(0, left(), "it must leave no file");
+  }
 
-    @Test
-    void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
-        Config config = Config.parse(config());
-        Rehearsal.hold(config, Integer.MAX_VALUE, 1, folder);
-        assertEquals(0, left());
-        assertEquals(0, Rehearsal.hold(config, 1, 60_000, folder.resolve("none")));
-    }
+  @Test
+  void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
+    Config config = Config.parse(config());
+    Rehearsal.hold(config, Integer.MAX_VALUE, 1, folder);
+    assertEquals(0, left());
+    assertEquals(0, Rehearsal.hold(config, 1, 60_000, folder.resolve("none")));
+  }
 
-    /** A node that serves unrehearsed turned most of its first clients away: the first answer comes after it. */
-    @Test
-    void theProgramRehearsesBeforeItServes() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "real")));
-        Path file = folder.resolve("config.json");
-        Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-cp", System.getProperty("java.class.path"), "merlinrouter.node.Main", "serve").redirectErrorStream(true);
-        builder.environment().put("GW_CONFIG", file.toString());
-        builder.environment().put("TMPDIR", folder.toString());
-        Process process = builder.start();
-        toClose.add(process::destroyForcibly);
-        BufferedReader said = new BufferedReader(
-            new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        String line = said.readLine();
-        while (line != null && !line.startsWith("rehearsed with")) {
-            assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
-            line = said.readLine();
-        }
-        assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
-        line = said.readLine();
-        assertTrue(line.startsWith("serving on"), line);
-        try (Socket client = new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
-            client.setSoTimeout(60_000);
-            assertEquals("200", ask(client, "t-1"));
-        }
-        process.destroy();
-        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(0, process.exitValue());
-        assertEquals(1, left(), "only the configuration is left");
+  /**
+   * A node that serves unrehearsed turned most of its first clients away: the first answer comes
+   * after it.
+   */
+  @Test
+  void theProgramRehearsesBeforeItServes() throws Exception {
+    Peer server = peer(m -> m.answer(Peer.ok("", "real")));
+    Path file = folder.resolve("config.json");
+    Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "merlinrouter.node.Main",
+                "serve")
+            .redirectErrorStream(true);
+    builder.environment().put("GW_CONFIG", file.toString());
+    builder.environment().put("TMPDIR", folder.toString());
+    Process process = builder.start();
+    toClose.add(process::destroyForcibly);
+    BufferedReader said =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    String line = said.readLine();
+    while (line != null && !line.startsWith("rehearsed with")) {
+      assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
+      line = said.readLine();
+    }
+    assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
+    line = said.readLine();
+    assertTrue(line.startsWith("serving on"), line);
+    try (Socket client =
+        new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
+      client.setSoTimeout(60_000);
+      assertEquals("200", ask(client, "t-1"));
     }
+    process.destroy();
+    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+    assertEquals(0, process.exitValue());
+    assertEquals(1, left(), "only the configuration is left");
+  }
 }
--- a/src/test/java/merlinrouter/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -20,76 +20,90 @@
 /** A new configuration while the node serves. */
 @Timeout(120)
 class ReloadTest extends Stage {
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private static String watched(String line) {
-        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1)
-            + "\r\n" + line + "\n\r\n";
-    }
+  private static String watched(String line) {
+    return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + Integer.toHexString(line.length() + 1)
+        + "\r\n"
+        + line
+        + "\n\r\n";
+  }
 
-    @Test
-    void theOldListServesUntilTheNewWatchSpeaks() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
-        String config = config(member("s-0", old.address(), "Ready", 0));
-        EdgeNode node = start(config);
-        Peer elsewhere = peer(m -> {
-            go.join();
-            m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":["
-                + member("s-1", fresh.address(), "Ready", 0) + "]}"));
-        });
-        discovery.next();
-        node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
-        assertNotNull(discovery.ended.poll(60, TimeUnit.SECONDS), "the old watch must end");
-        assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
-        Socket client = client(node);
-        order(client, "t-1");
-        assertEquals("old", Peer.read(client).body());
-        go.complete(null);
-        assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
-        order(client, "t-2");
-        assertEquals("new", Peer.read(client).body());
-    }
+  @Test
+  void theOldListServesUntilTheNewWatchSpeaks() throws Exception {
+    CompletableFuture<Void> go = new CompletableFuture<>();
+    Peer old = peer(m -> m.answer(Peer.ok("", "old")));
+    Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+    String config = config(member("s-0", old.address(), "Ready", 0));
+    EdgeNode node = start(config);
+    Peer elsewhere =
+        peer(
+            m -> {
+              go.join();
+              m.answer(
+                  watched(
+                      "{\"revision\":9,\"complete\":true,\"members\":["
+                          + member("s-1", fresh.address(), "Ready", 0)
+                          + "]}"));
+            });
+    discovery.next();
+    node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
+    assertNotNull(discovery.ended.poll(60, TimeUnit.SECONDS), "the old watch must end");
+    assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
+    Socket client = client(node);
+    order(client, "t-1");
+    assertEquals("old", Peer.read(client).body());
+    go.complete(null);
+    assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
+    order(client, "t-2");
+    assertEquals("new", Peer.read(client).body());
+  }
 
-    /** Without a handler the signal ends the JVM: this needs a process of its own. */
-    @Test
-    void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
-        Path file = folder.resolve("config.json");
-        Peer elsewhere = peer(m -> m.answer(UNCHANGED));
-        String config = config();
-        Files.writeString(file, config);
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-cp", System.getProperty("java.class.path"), "merlinrouter.node.Main", "serve").redirectErrorStream(true);
-        builder.environment().put("GW_CONFIG", file.toString());
-        Process process = builder.start();
-        toClose.add(process::destroyForcibly);
-        BufferedReader said = new BufferedReader(
-            new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        await(said, "serving on");
-        discovery.next();
-        Files.writeString(file, "{");
-        hangUp(process);
-        await(said, "the configuration stays as it was");
-        Files.writeString(file, config.replace(discovery.address(), elsewhere.address()));
-        hangUp(process);
-        elsewhere.next();
-        process.destroy();
-        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(0, process.exitValue());
-    }
+  /** Without a handler the signal ends the JVM: this needs a process of its own. */
+  @Test
+  void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
+    Path file = folder.resolve("config.json");
+    Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+    String config = config();
+    Files.writeString(file, config);
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "merlinrouter.node.Main",
+                "serve")
+            .redirectErrorStream(true);
+    builder.environment().put("GW_CONFIG", file.toString());
+    Process process = builder.start();
+    toClose.add(process::destroyForcibly);
+    BufferedReader said =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    await(said, "serving on");
+    discovery.next();
+    Files.writeString(file, "{");
+    hangUp(process);
+    await(said, "the configuration stays as it was");
+    Files.writeString(file, config.replace(discovery.address(), elsewhere.address()));
+    hangUp(process);
+    elsewhere.next();
+    process.destroy();
+    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+    assertEquals(0, process.exitValue());
+  }
 
-    static String await(BufferedReader said, String start) throws IOException {
-        String line = said.readLine();
-        while (line != null && !line.startsWith(start)) {
-            line = said.readLine();
-        }
-        assertNotNull(line, "the process ended before it said: " + start);
-        return line;
+  static String await(BufferedReader said, String start) throws IOException {
+    String line = said.readLine();
+    while (line != null && !line.startsWith(start)) {
+      line = said.readLine();
     }
+    assertNotNull(line, "the process ended before it said: " + start);
+    return line;
+  }
 
-    static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
-    }
+  static void hangUp(Process process) throws Exception {
+    assertEquals(
+        0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+  }
 }
