--- a/src/main/java/merlinrouter/node/ClientServer.java
+++ b/src/main/java/merlinrouter/node/ClientServer.java
@@ -542,6 +542,7 @@
      * Whether the client has left, as the socket tells now: a loop that was held for long has its
      * close still before it, and so has one that reads what other sockets brought first.
      */
+    @SuppressWarnings("deprecation") // the only handle that the channel's unsafe side offers
     private boolean hasLeft() {
       RecvByteBufAllocator.Handle last = channel.unsafe().recvBufAllocHandle();
       boolean reads = channel.isActive() && channel.config().isAutoRead();
--- a/src/main/java/merlinrouter/node/Main.java
+++ b/src/main/java/merlinrouter/node/Main.java
@@ -84,10 +84,7 @@
     }
   }
 
-  /**
-   * Java has no public way to hear of a signal, and without a handler this one ends the JVM. The
-   * compiler's word on this interface cannot be turned off; it is no lint.
-   */
+  /** The JVM ends on SIGHUP unless a handler is set, and only this internal class can set one. */
   private static void onHangup(Runnable then) {
     sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
   }
--- /dev/null
+++ b/src/test/java/merlinrouter/ArchitectureTest.java
@@ -0,0 +1,34 @@
+package merlinrouter;
+
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.junit.AnalyzeClasses;
+import com.tngtech.archunit.junit.ArchTest;
+
+/** Dependencies between packages point one way: hosts to decisions, decisions to their model. */
+@AnalyzeClasses(packages = "merlinrouter", importOptions = ImportOption.DoNotIncludeTests.class)
+class ArchitectureTest {
+  @ArchTest
+  void decisionsDoNotDependOnTheirHosts(JavaClasses classes) {
+    noClasses()
+        .that()
+        .resideOutsideOfPackages("merlinrouter.node..", "merlinrouter.simulator..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("merlinrouter.node..", "merlinrouter.simulator..", "io.netty..")
+        .check(classes);
+  }
+
+  @ArchTest
+  void theSimulatorAdapterDoesNotDependOnTheNode(JavaClasses classes) {
+    noClasses()
+        .that()
+        .resideInAPackage("merlinrouter.simulator..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("merlinrouter.node..", "io.netty..")
+        .check(classes);
+  }
+}
