--- a/src/main/java/merlinrouter/Gateway.java
+++ b/src/main/java/merlinrouter/gateway/Gateway.java
@@ -1,17 +1,27 @@
-package merlinrouter;
+package merlinrouter.gateway;
 
 import java.util.*;
 import java.util.stream.*;
-import merlinrouter.Ports.*;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.ClientRequest;
+import merlinrouter.model.DeduplicationScope;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Idempotency;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.GatewaySettings;
+import merlinrouter.settings.QuotaPlan;
+import merlinrouter.settings.RequestClass;
 import org.ejml.simple.SimpleMatrix;
 
 /**
  * All decisions of one gateway: quotas, fair queue, controllers, choice of server, attempts, final
- * answers. Its types, events and actions stand in {@code Ports.java}. The mechanism is that of the
+ * answers. Its types, events and actions stand in {@code java}. The mechanism is that of the
  * Proteus paper, "Non-intrusive Performance Management for Computer Services"; each departure says
  * at its place what it guards against.
  */
-public final class Gateway implements Ports.Events {
+public final class Gateway implements GatewayEvents {
   private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
   private static final double NANO = 1e-9;
 
@@ -108,8 +118,8 @@
   private static final Set<String> LOADS = Set.of("waiting", "active", "cpu");
 
   private static final int REPORT_S = 1, RECENT = 6;
-  private final Settings cfg;
-  private final Actions out;
+  private final GatewaySettings cfg;
+  private final GatewayActions out;
   private final SplittableRandom random;
   private final long born;
   private long now, nextControl, answeredAt, tokensAt, steeredAt, sentWorkAt, restUntil;
@@ -138,56 +148,56 @@
   private final Map<Long, ArrayDeque<Call>> calls = new LinkedHashMap<>();
 
   /** A gateway that starts now; {@code seed} is its only source of chance. */
-  public Gateway(Settings settings, long seed, long now, Actions actions) {
+  public Gateway(GatewaySettings settings, long seed, long now, GatewayActions actions) {
     cfg = settings;
     out = actions;
     random = new SplittableRandom(seed);
     born = now;
     this.now = now;
-    lanes = new Lane[cfg.classes().size()];
+    lanes = new Lane[cfg.requestClasses().size()];
     for (int i = 0; i < lanes.length; i++) {
-      lanes[i] = new Lane(cfg.classes().get(i));
+      lanes[i] = new Lane(cfg.requestClasses().get(i));
     }
-    taken = new double[cfg.plans().size()];
+    taken = new double[cfg.quotaPlans().size()];
     told = new double[taken.length];
     control = new Control();
     answeredAt = now;
     tokensAt = now;
-    callStart = Math.max(CALLS_LEAST, CALLS_START / cfg.siblings());
+    callStart = Math.max(CALLS_LEAST, CALLS_START / cfg.gatewayCount());
     callRate = callStart;
     callTokens = random.nextDouble(callRate);
     nextControl = now + SECOND;
-    out.timer(0, TICK);
-    if (cfg.limits().askForList()) {
-      out.watchList();
+    out.scheduleTimer(0, TICK);
+    if (cfg.limits().endpointSubscription()) {
+      out.subscribeToEndpoints();
     }
   }
 
   @Override
-  public void list(long at, ListKind kind, List<Server> entries) {
+  public void endpointsUpdated(long at, EndpointUpdateType kind, List<Endpoint> entries) {
     now = at;
-    if (kind == ListKind.FAILED) {
-      out.watchList();
-    } else if (kind != ListKind.DELTA) {
-      Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
+    if (kind == EndpointUpdateType.FAILED) {
+      out.subscribeToEndpoints();
+    } else if (kind != EndpointUpdateType.DELTA) {
+      Set<String> named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
       servers.values().stream().filter(b -> !named.contains(b.id)).forEach(Backend::leave);
     }
-    for (Server entry : entries) {
+    for (Endpoint entry : entries) {
       Backend known = servers.get(entry.id());
-      if (entry.readiness() == Readiness.GONE) {
+      if (entry.state() == EndpointState.REMOVED) {
         if (known != null) {
           known.leave();
         }
         continue;
       }
-      boolean anew = known == null || known.entry.startedAt() != entry.startedAt();
+      boolean anew = known == null || known.entry.startedAtNanos() != entry.startedAtNanos();
       if (known != null) {
         known.ready = false;
       }
       Backend backend = anew ? new Backend(entry) : known;
       servers.put(entry.id(), backend);
       backend.entry = entry;
-      backend.ready = entry.readiness() == Readiness.READY;
+      backend.ready = entry.state() == EndpointState.READY;
       backend.goneAt = 0;
     }
     // Ids are ever new: what is gone is forgotten, but for the attempts that it still has.
@@ -199,22 +209,22 @@
   }
 
   @Override
-  public void request(long at, Request request) {
+  public void requestReceived(long at, ClientRequest request) {
     now = at;
     boolean known =
-        request.requestClass() >= 0
-            && request.requestClass() < lanes.length
-            && request.plan() >= 0
-            && request.plan() < cfg.plans().size();
+        request.classIndex() >= 0
+            && request.classIndex() < lanes.length
+            && request.planIndex() >= 0
+            && request.planIndex() < cfg.quotaPlans().size();
     if (!known) {
-      out.refuse(request.id(), 0);
+      out.reject(request.id(), 0);
     }
     if (!known || jobs.containsKey(request.id())) {
       return;
     }
     Customer customer =
         customers.computeIfAbsent(request.customer(), key -> new Customer(key, request));
-    Lane lane = lanes[request.requestClass()];
+    Lane lane = lanes[request.classIndex()];
     lane.arrivals++;
     Job job = new Job(request, customer, lane);
     jobs.put(request.id(), job);
@@ -235,9 +245,9 @@
   }
 
   @Override
-  public void attemptEnded(long at, Result result) {
+  public void attemptEnded(long at, AttemptResult result) {
     now = at;
-    Job job = jobs.get(result.id());
+    Job job = jobs.get(result.requestId());
     if (job == null || job.backend == null) {
       return;
     }
@@ -246,32 +256,32 @@
     inFlight--;
     // A level under one is kept over time: hundreds with one out each may be too many for a small
     // fleet.
-    restUntil = now + (long) (result.took() * Math.max(0, 1 / control.level - 1));
+    restUntil = now + (long) (result.durationNanos() * Math.max(0, 1 / control.level - 1));
     backend.ended(job, result);
     job.lane.observe(job, result);
-    boolean told = cfg.counter().settles() && result.trueUnits() > 0;
+    boolean told = cfg.counter().reportsActualUnits() && result.actualUnits() > 0;
     if (told && result.outcome() == Outcome.OK && job.inQuota) {
-      job.customer.take(result.trueUnits() - job.request.units());
+      job.customer.take(result.actualUnits() - job.request.units());
     }
-    if (!result.outcome().provesNeverRan() && job.mayHaveRunSince == 0) {
+    if (!result.outcome().provesNotExecuted() && job.mayHaveRunSince == 0) {
       job.mayHaveRunSince = job.sentAt;
       job.anchor = backend;
     }
-    if (result.complete() || job.over) {
+    if (result.requestComplete() || job.over) {
       forget(job);
     } else {
-      again(job, result.outcome().provesNeverRan());
+      again(job, result.outcome().provesNotExecuted());
     }
     dispatch();
   }
 
   @Override
-  public void streamStarted(long at, String id) {
+  public void responseStarted(long at, String id) {
     now = at;
   }
 
   @Override
-  public void clientGone(long at, String id) {
+  public void clientDisconnected(long at, String id) {
     now = at;
     Job job = jobs.get(id);
     if (job == null) {
@@ -285,7 +295,7 @@
   }
 
   @Override
-  public void counted(long at, long name, Outcome outcome, double total) {
+  public void counterCallEnded(long at, long name, Outcome outcome, double total) {
     now = at;
     ArrayDeque<Call> pending = calls.get(name);
     Call call = pending == null ? null : pending.poll();
@@ -298,7 +308,8 @@
     boolean answered = outcome == Outcome.OK;
     // A line that broke tells nothing of the counter's load; one that is full outlasts the
     // time-out.
-    double wait = outcome == Outcome.FULL ? 1 : (now - call.at) / (double) cfg.counter().timeout();
+    double wait =
+        outcome == Outcome.REJECTED ? 1 : (now - call.at) / (double) cfg.counter().timeoutNanos();
     if (wait > CALLS_WAIT || answered && denied) {
       double span = Math.min(PUSH, now - steeredAt) * NANO;
       callRate *= Math.exp(CALLS_GAIN * span * Math.max(-2, 1 - wait / CALLS_WAIT));
@@ -331,7 +342,7 @@
   }
 
   @Override
-  public void probed(long at, String id, Outcome how, long took, List<Double> report) {
+  public void healthCheckEnded(long at, String id, Outcome how, long took, List<Double> report) {
     now = at;
     Backend backend = servers.get(id);
     if (backend == null) {
@@ -339,8 +350,8 @@
     }
     // A server that keeps its load to itself, or does not answer, is not idle.
     double load = report.isEmpty() ? 1 + 2 * usualLoad : 0;
-    for (int i = 0; i < Math.min(report.size(), cfg.reports().size()); i++) {
-      load += LOADS.contains(cfg.reports().get(i)) ? report.get(i) : 0;
+    for (int i = 0; i < Math.min(report.size(), cfg.loadReportNames().size()); i++) {
+      load += LOADS.contains(cfg.loadReportNames().get(i)) ? report.get(i) : 0;
     }
     usualLoad += 0.05 * (load - usualLoad);
     backend.load = load;
@@ -354,20 +365,20 @@
    */
   private void probe(Job job) {
     boolean rare = sentWork < job.cost() * listed.size();
-    if (rare && cfg.limits().probes() && !cfg.reports().isEmpty()) {
-      out.probe(listed.get(random.nextInt(listed.size())).id);
+    if (rare && cfg.limits().healthChecks() && !cfg.loadReportNames().isEmpty()) {
+      out.startHealthCheck(listed.get(random.nextInt(listed.size())).id);
     }
   }
 
   @Override
-  public void timer(long at, long token) {
+  public void timerFired(long at, long token) {
     now = at;
-    out.timer(0, TICK);
+    out.scheduleTimer(0, TICK);
     for (Lane lane : lanes) {
       expire(lane.queue);
     }
     // A host that never ends a call must not cost a request its answer.
-    long due = now - 2 * cfg.counter().timeout();
+    long due = now - 2 * cfg.counter().timeoutNanos();
     for (ArrayDeque<Call> line : calls.values()) {
       for (Call call : line) {
         if (call.at < due) {
@@ -399,7 +410,7 @@
   /** What this gateway knows of a customer's use. */
   private final class Customer {
     private final long key, span, phase;
-    private final Plan plan;
+    private final QuotaPlan plan;
     private final int gateways, place;
     private final boolean shared;
 
@@ -416,17 +427,17 @@
     private boolean deaf;
     private int open, jobs, asked;
 
-    Customer(long key, Request first) {
+    Customer(long key, ClientRequest first) {
       this.key = key;
-      place = first.plan();
-      plan = cfg.plans().get(place);
-      gateways = Math.max(1, Math.min(first.setSize(), cfg.siblings()));
+      place = first.planIndex();
+      plan = cfg.quotaPlans().get(place);
+      gateways = Math.max(1, Math.min(first.gatewaySpread(), cfg.gatewayCount()));
       shared = gateways > 1 && cfg.counter().present();
-      store = plan.burst();
+      store = plan.burstUnits();
       // In one burst's span a steady customer is given just one burst: the running total alone
       // tells a
       // gateway that never heard of it. Spans of different customers begin at different moments.
-      double full = plan.rate() > 0 ? plan.burst() / plan.rate() : 1;
+      double full = plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 1;
       span = (long) (Math.min(30, Math.max(1, full)) * SECOND);
       phase = Math.floorMod(mix(key), span);
       // A restarted gateway cannot know what it spent under the ceiling: that starts with nothing.
@@ -444,11 +455,14 @@
       double others =
           s
               * Math.min(
-                  plan.rate() * (deaf ? 1 - 1.0 / gateways : 1), deaf ? plan.rate() : othersRate);
+                  plan.unitsPerSecond() * (deaf ? 1 - 1.0 / gateways : 1),
+                  deaf ? plan.unitsPerSecond() : othersRate);
       foreseen += others;
-      store = Math.min(plan.burst(), store + s * plan.rate() - others);
+      store = Math.min(plan.burstUnits(), store + s * plan.unitsPerSecond() - others);
       ceiling =
-          Math.min(plan.ceilingBurst() / gateways, ceiling + s * plan.ceilingRate() / gateways);
+          Math.min(
+              plan.hardLimitBurstUnits() / gateways,
+              ceiling + s * plan.hardLimitUnitsPerSecond() / gateways);
     }
 
     /**
@@ -460,7 +474,8 @@
         return false;
       }
       refill();
-      return idle * NANO * plan.rate() >= plan.burst() && ceiling >= plan.ceilingBurst() / gateways;
+      return idle * NANO * plan.unitsPerSecond() >= plan.burstUnits()
+          && ceiling >= plan.hardLimitBurstUnits() / gateways;
     }
 
     /**
@@ -470,36 +485,36 @@
       refill();
       double units = job.request.units();
       // The ceiling holds whatever the others do: each gateway keeps to its part of rate and burst.
-      if (plan.ceilingRate() > 0 && ceiling < units) {
-        refuse(job, (units - ceiling) * gateways / plan.ceilingRate());
+      if (plan.hardLimitUnitsPerSecond() > 0 && ceiling < units) {
+        refuse(job, (units - ceiling) * gateways / plan.hardLimitUnitsPerSecond());
         return;
       }
       ceiling -= units;
       take(units);
       job.taken = true;
       job.inQuota = true;
-      boolean dear = plan.rate() > 0 && plan.beyondEarns() <= plan.beyondCosts();
+      boolean dear = plan.unitsPerSecond() > 0 && plan.overQuotaValue() <= plan.overQuotaCost();
       boolean old = dear && now - heard > span / 4 && shared && !silent;
       // Scarce calls go where most can be lost and own traffic tells least; repeats follow
       // refusals.
       double stake =
-          job.lane.spec.worth()
-              * plan.price()
-              * plan.beyondCosts()
+          job.lane.spec.priorityWeight()
+              * plan.valueFactor()
+              * plan.overQuotaCost()
               * units
               * gateways
-              / cfg.siblings()
-              * (job.request.repeat() ? 0.3 : 1);
+              / cfg.gatewayCount()
+              * (job.request.retry() ? 0.3 : 1);
       usualStake += 0.02 * (stake - usualStake);
       stake /= Math.max(1e-9, usualStake);
       // Use untold misleads the others as much as a question unasked this gateway, but can wait.
       pushStake = stake / 2;
-      if (old && now + 2 * cfg.counter().timeout() < job.aimAt() && mayCall(stake)) {
+      if (old && now + 2 * cfg.counter().timeoutNanos() < job.aimAt() && mayCall(stake)) {
         job.asking = true;
         call(job);
       } else {
         divide();
-        boolean doubtful = deaf && job.request.repeat() && plan.burst() / gateways < units;
+        boolean doubtful = deaf && job.request.retry() && plan.burstUnits() / gateways < units;
         decide(job, doubtful ? Double.MAX_VALUE : othersRate * PUSH * NANO);
       }
     }
@@ -513,31 +528,31 @@
         return;
       }
       if (!deaf && store > 0) {
-        store = Math.max(store / gateways, Math.min(store, cfg.counter().largest()));
+        store = Math.max(store / gateways, Math.min(store, cfg.counter().maxRequestUnits()));
       }
       deaf = true;
     }
 
     private void decide(Job job, double keptBack) {
       double units = job.request.units();
-      job.inQuota = plan.rate() <= 0 || store >= keptBack;
+      job.inQuota = plan.unitsPerSecond() <= 0 || store >= keptBack;
       if (!job.inQuota) {
         take(-units);
       }
-      if (job.inQuota || plan.beyondEarns() > plan.beyondCosts()) {
+      if (job.inQuota || plan.overQuotaValue() > plan.overQuotaCost()) {
         enqueue(job);
       } else {
-        refuse(job, (units - store) / plan.rate());
+        refuse(job, (units - store) / plan.unitsPerSecond());
       }
     }
 
     private void refuse(Job job, double retryAfter) {
-      out.refuse(job.request.id(), advice(retryAfter));
+      out.reject(job.request.id(), advice(retryAfter));
       forget(job);
     }
 
     void take(double units) {
-      if (plan.rate() > 0) {
+      if (plan.unitsPerSecond() > 0) {
         // Given back is not taken: counted, it made the others' use look many times as large.
         taken[place] = (units > 0 ? 0.99 : 1) * taken[place] + units;
         told[place] *= units > 0 ? 0.99 : 1;
@@ -567,18 +582,18 @@
       window = index;
       double amount = Math.rint(unpushed * 1e6) * 1e-6;
       told[place] += amount;
-      pushAt = now + (store < plan.burst() / 2 ? PUSH : SECOND);
+      pushAt = now + (store < plan.burstUnits() / 2 ? PUSH : SECOND);
       unpushed = 0;
       long name = mix(mix(key) + index) >>> 1;
       Call call = new Call(this, window, amount, job, now);
       calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
       asked++;
-      out.count(name, amount, 2 * span);
+      out.addToCounter(name, amount, 2 * span);
     }
 
     void counted(Call call, Outcome outcome, double total) {
       asked--;
-      if (outcome.provesNeverRan()) {
+      if (outcome.provesNotExecuted()) {
         unpushed += call.amount;
         told[place] -= call.amount;
         active.add(this);
@@ -612,18 +627,18 @@
     private void learn(Call call, double total) {
       double theirs = total - mine;
       // Lost counts: what is there now is new since the loss, and tells of the others what it can.
-      if (theirs < -1e-3 || theirs < others - plan.burst() / 2) {
+      if (theirs < -1e-3 || theirs < others - plan.burstUnits() / 2) {
         mine = call.amount;
         others = 0;
         theirs = Math.max(0, total - call.amount);
       }
       // Where calls are scarce only a part of the use is told; the others' part is taken to be as
       // ours.
-      double least = 2 * cfg.counter().largest();
+      double least = 2 * cfg.counter().maxRequestUnits();
       double part = (Math.max(0, told[place]) + least) / (taken[place] + least);
       if (now - heard > span) {
         // The estimate is too old: in one span a full store and this window's total tell more.
-        store = plan.burst() - mine - unpushed;
+        store = plan.burstUnits() - mine - unpushed;
         foreseen = 0;
       }
       double news = (theirs - others) / Math.min(1, Math.max(0.1, part));
@@ -632,17 +647,20 @@
       long since = Math.max(heard, window * span - phase);
       double s = Math.max(0.05, (now - since) * NANO);
       heard = now;
-      double rate = Math.max(0, Math.min(news / s, 2 * plan.rate()));
+      double rate = Math.max(0, Math.min(news / s, 2 * plan.unitsPerSecond()));
       othersRate += (1 - Math.exp(-s / OTHERS_S)) * (rate - othersRate);
       // What was sent beyond the quota took nothing from the store: it cannot be far below nothing.
-      store = Math.max(Math.min(plan.burst(), store - news + foreseen), -cfg.counter().largest());
+      store =
+          Math.max(
+              Math.min(plan.burstUnits(), store - news + foreseen),
+              -cfg.counter().maxRequestUnits());
       foreseen = 0;
     }
   }
 
   /** A request taken and not yet finished. */
   private final class Job {
-    private final Request request;
+    private final ClientRequest request;
     private final Customer customer;
     private final Lane lane;
     private final long arrived = now;
@@ -653,33 +671,33 @@
     private long sentAt, mayHaveRunSince;
     private Backend anchor;
 
-    Job(Request request, Customer customer, Lane lane) {
+    Job(ClientRequest request, Customer customer, Lane lane) {
       this.request = request;
       this.customer = customer;
       this.lane = lane;
     }
 
     double worth() {
-      double part = inQuota ? 1 : customer.plan.beyondEarns() - customer.plan.beyondCosts();
-      return lane.spec.worth() * customer.plan.price() * part;
+      double part = inQuota ? 1 : customer.plan.overQuotaValue() - customer.plan.overQuotaCost();
+      return lane.spec.priorityWeight() * customer.plan.valueFactor() * part;
     }
 
     long aimAt() {
-      return Math.min(arrived + lane.spec.aim(), request.deadline());
+      return Math.min(arrived + lane.spec.latencyObjectiveNanos(), request.deadlineNanos());
     }
 
     /**
      * Nobody tells how many the others have out: a cap on these is divided, and each may have one.
      */
     boolean mayGo() {
-      int most = customer.plan.atOnce();
+      int most = customer.plan.maxConcurrentRequests();
       return most <= 0 || customer.open < Math.max(1, most / customer.gateways);
     }
 
     /** Too late to be sent for the first time and answered within its aim. */
     boolean hopeless() {
       long need = attempts == 0 ? (long) (MARGIN * cost() * SECOND) : 0;
-      return now + Math.max(need, 2 * TICK + cfg.tick()) >= aimAt();
+      return now + Math.max(need, 2 * TICK + cfg.eventIntervalNanos()) >= aimAt();
     }
 
     double cost() {
@@ -698,7 +716,7 @@
 
     Lane(RequestClass spec) {
       this.spec = spec;
-      service = spec.aim() * NANO / 8;
+      service = spec.latencyObjectiveNanos() * NANO / 8;
     }
 
     /**
@@ -718,19 +736,19 @@
       return null;
     }
 
-    void observe(Job job, Result result) {
-      double took = result.took() * NANO;
+    void observe(Job job, AttemptResult result) {
+      double took = result.durationNanos() * NANO;
       if (result.outcome() == Outcome.OK) {
         good++;
         service += 0.02 * (took - service);
         units += 0.02 * (job.request.units() - units);
-        price += 0.02 * (job.customer.plan.price() * job.request.units() - price);
+        price += 0.02 * (job.customer.plan.valueFactor() * job.request.units() - price);
         latencySum += (now - job.arrived) * NANO;
         waitSum += (job.sentAt - job.arrived) * NANO;
         services.add(took);
       } else if (!NO_SIGN_OF_LOAD.contains(result.outcome())) {
         // A failure counts as slow, never as fast: errors must not open the concurrency loop.
-        services.add(Math.max(took, 2 * spec.aim() * NANO));
+        services.add(Math.max(took, 2 * spec.latencyObjectiveNanos() * NANO));
       }
     }
   }
@@ -760,7 +778,10 @@
       backlogged += l.queue.isEmpty() ? 0 : l.share;
     }
     double rate = control.level / lane.service * lane.share / Math.max(MIN_SHARE, backlogged);
-    double budget = Math.max(lane.spec.aim() * NANO - 2 * lane.service, lane.spec.aim() * NANO / 4);
+    double budget =
+        Math.max(
+            lane.spec.latencyObjectiveNanos() * NANO - 2 * lane.service,
+            lane.spec.latencyObjectiveNanos() * NANO / 4);
     while (lane.queue.size() > 1 && lane.queue.size() / rate > budget) {
       Job least = lane.queue.peek();
       for (Job job : lane.queue) {
@@ -874,8 +895,10 @@
     /** Until fitted, shares follow worth. */
     Control() {
       double sum =
-          Math.max(1e-9, Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth()).sum());
-      setShares(Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth() / sum).toArray());
+          Math.max(
+              1e-9, Arrays.stream(lanes).mapToDouble(lane -> lane.spec.priorityWeight()).sum());
+      setShares(
+          Arrays.stream(lanes).mapToDouble(lane -> lane.spec.priorityWeight() / sum).toArray());
     }
 
     private void setShares(double[] shares) {
@@ -891,7 +914,7 @@
 
     void boundLevel() {
       double before = limit;
-      double part = Math.max(MIN_LEVEL, OPEN_PER_SERVER * listed.size() / cfg.siblings());
+      double part = Math.max(MIN_LEVEL, OPEN_PER_SERVER * listed.size() / cfg.gatewayCount());
       limit = part > 1 ? Math.rint(part) : part;
       level = levelModel.updates == 0 || level >= before ? limit : Math.min(level, limit);
     }
@@ -904,7 +927,8 @@
         Lane lane = lanes[i];
         boolean live = lane.good > 0;
         y[i] = lane.good / scale;
-        double inverse = lane.spec.aim() * NANO * lane.good / Math.max(1e-6, lane.latencySum);
+        double inverse =
+            lane.spec.latencyObjectiveNanos() * NANO * lane.good / Math.max(1e-6, lane.latencySum);
         y[n + i] = live ? Math.min(1, inverse / INVERSE_UNIT) : lastY == null ? 0 : lastY[n + i];
         seen[i] = live ? y[i] : Double.NaN;
         seen[n + i] = live ? y[n + i] : Double.NaN;
@@ -942,9 +966,9 @@
       SimpleMatrix x = r.plus(b0.mult(column(tried)));
       Lane lane = lanes[i];
       double served = Math.min(Math.max(0, x.get(i)) * scale, lane.arrivals);
-      double late = lane.spec.lateValue();
+      double late = lane.spec.lateValueFraction();
       double timely = late + (1 - late) * (1 - Math.exp(-INVERSE_UNIT * Math.max(0, x.get(n + i))));
-      return lane.spec.worth() * lane.price * served * timely;
+      return lane.spec.priorityWeight() * lane.price * served * timely;
     }
 
     /** The greedy optimizer of the paper's figure 4, for one gateway: the references. */
@@ -980,7 +1004,8 @@
       SimpleMatrix b0 = shareModel.theta.cols(2 * n, 3 * n).copy();
       SimpleMatrix r = shareModel.predict(regressor(y, new double[n]));
       SimpleMatrix w = new SimpleMatrix(2 * n, 2 * n);
-      double most = Arrays.stream(lanes).mapToDouble(l -> l.spec.worth() * l.price).max().orElse(1);
+      double most =
+          Arrays.stream(lanes).mapToDouble(l -> l.spec.priorityWeight() * l.price).max().orElse(1);
       for (int i = 0; i < 2 * n; i++) {
         if (b0.get(i, i % n) <= 0) {
           // Noise, or never varied: until the fit has the known sign, in proportion to the share.
@@ -990,7 +1015,7 @@
           r.set(i, 0, 0);
         }
         Lane lane = lanes[i % n];
-        double weight = Math.sqrt(lane.spec.worth() * lane.price / Math.max(1e-9, most));
+        double weight = Math.sqrt(lane.spec.priorityWeight() * lane.price / Math.max(1e-9, most));
         w.set(i, i, Double.isNaN(seen[i]) ? 0 : weight);
       }
       setShares(controlLaw(b0, w, Q_SHARE, optimize(r, b0), r, column(u)).getDDRM().getData());
@@ -1004,13 +1029,13 @@
       Lane tight =
           Arrays.stream(lanes)
               .filter(lane -> lane.services.size() >= LEVEL_ANSWERS)
-              .min(Comparator.comparingLong(lane -> lane.spec.aim()))
+              .min(Comparator.comparingLong(lane -> lane.spec.latencyObjectiveNanos()))
               .orElse(null);
       if (tight == null) {
         return;
       }
       double[] sorted = tight.services.stream().mapToDouble(x -> x).sorted().toArray();
-      double aim = tight.spec.aim() * NANO;
+      double aim = tight.spec.latencyObjectiveNanos() * NANO;
       double inverse = aim / sorted[(int) (0.9 * (sorted.length - 1))];
       double u = level / limit;
       if (lastInverse > 0 && bound && u != lastLevel) {
@@ -1038,16 +1063,16 @@
   /** What this gateway knows of a server. */
   private final class Backend {
     private final String id;
-    private Server entry;
+    private Endpoint entry;
     private boolean ready, shunned;
     private final LinkedHashSet<Job> outstanding = new LinkedHashSet<>();
     private double latency, errors, load;
     private long heard = now, coldAt = now, reported = born, goneAt;
 
-    Backend(Server entry) {
+    Backend(Endpoint entry) {
       id = entry.id();
       this.entry = entry;
-      latency = kindLatency.getOrDefault(entry.kind(), 1.0);
+      latency = kindLatency.getOrDefault(entry.machineType(), 1.0);
       errors = zoneErrors.getOrDefault(entry.zone(), 0.0);
     }
 
@@ -1061,13 +1086,16 @@
     }
 
     boolean cold() {
-      return entry.startedAt() > 0 && now - entry.startedAt() < cfg.rules().coldSpan();
+      return entry.startedAtNanos() > 0
+          && now - entry.startedAtNanos() < cfg.rules().slowStartDurationNanos();
     }
 
     double warmth() {
       double age =
-          Math.max(0, now - entry.startedAt()) / (double) Math.max(1, cfg.rules().coldSpan());
-      return cfg.rules().coldFrom() + (1 - cfg.rules().coldFrom()) * Math.min(1, age);
+          Math.max(0, now - entry.startedAtNanos())
+              / (double) Math.max(1, cfg.rules().slowStartDurationNanos());
+      return cfg.rules().slowStartInitialFraction()
+          + (1 - cfg.rules().slowStartInitialFraction()) * Math.min(1, age);
     }
 
     /** What was not heard of lately is taken to be as its kind and its zone are. */
@@ -1080,27 +1108,27 @@
     }
 
     boolean groupedWith(Job job) {
-      Server b = job.anchor.entry;
-      return job.lane.spec.group() == Group.ZONE
+      Endpoint b = job.anchor.entry;
+      return job.lane.spec.deduplicationScope() == DeduplicationScope.ZONE
           ? entry.zone() == b.zone()
           : entry.cell() == b.cell();
     }
 
     double score() {
-      double l = lately(latency, kindLatency.getOrDefault(entry.kind(), 1.0));
+      double l = lately(latency, kindLatency.getOrDefault(entry.machineType(), 1.0));
       if (!outstanding.isEmpty()) {
         // An answer overdue tells of trouble before it ends.
         Job oldest = outstanding.iterator().next();
         l = Math.max(l, (now - oldest.sentAt) * NANO / oldest.cost() / 2);
       }
       double safe = 1 - Math.min(0.97, risk());
-      double weight = cfg.sizesTell() && entry.size() > 0 ? entry.size() : 1;
+      double weight = cfg.weightsMeaningful() && entry.weight() > 0 ? entry.weight() : 1;
       l *= 1 + (load - usualLoad) / (1 + usualLoad) * Math.exp(-(now - reported) * NANO / REPORT_S);
       double s = l * (1 + outstanding.size() / weight) / (safe * safe);
       return entry.zone() == cfg.zone() ? s : s * 1.05;
     }
 
-    void ended(Job job, Result result) {
+    void ended(Job job, AttemptResult result) {
       outstanding.remove(job);
       Outcome o = result.outcome();
       if (o == Outcome.CANCELLED || o == Outcome.NOT_SENT) {
@@ -1108,14 +1136,14 @@
       }
       boolean good = o == Outcome.OK;
       // A fast failure must not look fast.
-      double ratio = Math.min(20, result.took() * NANO / job.cost());
+      double ratio = Math.min(20, result.durationNanos() * NANO / job.cost());
       ratio = good ? ratio : Math.max(3, ratio);
-      double bad = good ? 0 : o == Outcome.FULL ? 0.5 : 1;
+      double bad = good ? 0 : o == Outcome.REJECTED ? 0.5 : 1;
       // Where one gateway of many hears little of a server, it goes by what it hears of its like.
       double small = 2 * ALPHA / Math.max(1, listed.size());
-      kindLatency.merge(entry.kind(), ratio, (l, r) -> l + small * (r - l));
+      kindLatency.merge(entry.machineType(), ratio, (l, r) -> l + small * (r - l));
       zoneErrors.merge(entry.zone(), small * bad, (e, x) -> e + small * (bad - e));
-      latency = lately(latency, kindLatency.get(entry.kind()));
+      latency = lately(latency, kindLatency.get(entry.machineType()));
       errors = risk();
       heard = now;
       if (good) {
@@ -1138,7 +1166,7 @@
     if (bound) {
       return listed.stream().filter(b -> b.groupedWith(job)).toList();
     }
-    int most = Math.max(2, LOOK * listed.size() / cfg.siblings());
+    int most = Math.max(2, LOOK * listed.size() / cfg.gatewayCount());
     int all = listed.size();
     if (most >= all) {
       return listed;
@@ -1164,7 +1192,9 @@
   private Backend choose(Job job) {
     RequestClass spec = job.lane.spec;
     boolean bound =
-        job.mayHaveRunSince > 0 && spec.repeat() == Repeat.KEYED && spec.group() != Group.ALL;
+        job.mayHaveRunSince > 0
+            && spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+            && spec.deduplicationScope() != DeduplicationScope.ALL_ENDPOINTS;
     Backend best = null;
     double bestScore = Double.MAX_VALUE;
     for (Backend b : candidates(job, bound)) {
@@ -1188,7 +1218,7 @@
     }
     // Any server bears one at a time: who has sent nothing yet, with none warm, would else never
     // begin.
-    double share = Math.max(sentWork / Math.max(1, warm), 1.0 / cfg.siblings());
+    double share = Math.max(sentWork / Math.max(1, warm), 1.0 / cfg.gatewayCount());
     double work = share * b.warmth() * (now - b.coldAt) * NANO;
     b.coldAt = now;
     return random.nextDouble() * job.cost() < work;
@@ -1210,12 +1240,12 @@
     if (inFlight >= control.level) {
       control.bound = true;
     }
-    out.send(job.request.id(), backend.id, patience(job));
+    out.startAttempt(job.request.id(), backend.id, patience(job));
   }
 
   /** How long to wait: no longer than an answer is worth something. */
   private long patience(Job job) {
-    long until = job.lane.spec.lateValue() <= 0 ? job.aimAt() : job.request.deadline();
+    long until = job.lane.spec.lateValueFraction() <= 0 ? job.aimAt() : job.request.deadlineNanos();
     return Math.max(MS, until - now);
   }
 
@@ -1223,12 +1253,12 @@
   private void again(Job job, boolean neverRan) {
     RequestClass spec = job.lane.spec;
     // A repeat reaches its server when the connection is up; that is no later than this.
-    long latest = cfg.limits().connectTimeout() + TICK;
+    long latest = cfg.limits().connectTimeoutNanos() + TICK;
     boolean mayRepeat =
         job.mayHaveRunSince == 0
-            || spec.repeat() == Repeat.SAFE
-            || spec.repeat() == Repeat.KEYED
-                && now + latest - job.mayHaveRunSince < spec.keyWindow();
+            || spec.idempotency() == Idempotency.IDEMPOTENT
+            || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && now + latest - job.mayHaveRunSince < spec.deduplicationWindowNanos();
     boolean inTime = now + (long) (job.lane.service * SECOND / 2) < job.aimAt();
     double price = neverRan ? 0 : 1;
     boolean may = mayRepeat && inTime && retryTokens >= price;
@@ -1245,11 +1275,12 @@
   private void giveUp(Job job) {
     RequestClass spec = job.lane.spec;
     if (job.mayHaveRunSince == 0
-        || spec.repeat() == Repeat.SAFE
-        || spec.repeat() == Repeat.KEYED && spec.group() == Group.ALL) {
+        || spec.idempotency() == Idempotency.IDEMPOTENT
+        || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+            && spec.deduplicationScope() == DeduplicationScope.ALL_ENDPOINTS) {
       // By Little's law, when what is queued now will have been sent.
       Lane lane = job.lane;
-      out.refuse(job.request.id(), advice(lane.service * (1 + lane.queue.size() / control.level)));
+      out.reject(job.request.id(), advice(lane.service * (1 + lane.queue.size() / control.level)));
     } else {
       out.fail(job.request.id());
     }
@@ -1262,7 +1293,7 @@
    * same queue.
    */
   private long advice(double seconds) {
-    return (long) Math.max(0, Math.min(cfg.limits().maxRetryAfter(), seconds * SECOND));
+    return (long) Math.max(0, Math.min(cfg.limits().maxRetryAfterNanos(), seconds * SECOND));
   }
 
   /** The end of a request here; what it took is given back if it was never sent. */
--- /dev/null
+++ b/src/main/java/merlinrouter/model/ClientRequest.java
@@ -0,0 +1,25 @@
+package merlinrouter.model;
+
+/**
+ * A request as it arrives from a client.
+ *
+ * @param id identifies the request; at most one request with an id is open at a time
+ * @param classIndex index of its request class in the settings
+ * @param planIndex index of its customer's quota plan in the settings
+ * @param customer number of its customer
+ * @param deadlineNanos the moment at which the client stops waiting
+ * @param units what it takes from the quota; may be an estimate
+ * @param gatewaySpread how many gateways this customer's requests come through
+ * @param firstGateway number of the first of these gateways
+ * @param retry whether the client marked it as a retry of an earlier request
+ */
+public record ClientRequest(
+    String id,
+    int classIndex,
+    int planIndex,
+    long customer,
+    long deadlineNanos,
+    double units,
+    int gatewaySpread,
+    int firstGateway,
+    boolean retry) {}
--- /dev/null
+++ b/src/main/java/merlinrouter/model/EndpointUpdateType.java
@@ -0,0 +1,13 @@
+package merlinrouter.model;
+
+/** What an update of the endpoint list holds. */
+public enum EndpointUpdateType {
+  /** The whole list: what it does not name is removed. */
+  FULL,
+  /** The whole list as saved before this start; it may be out of date. */
+  CACHED,
+  /** Changed entries only. */
+  DELTA,
+  /** Nothing: a call to discovery failed and the known list stands. */
+  FAILED
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/model/Idempotency.java
@@ -0,0 +1,11 @@
+package merlinrouter.model;
+
+/** How often a request of a class may take effect. */
+public enum Idempotency {
+  /** May be executed any number of times. */
+  IDEMPOTENT,
+  /** Carries an idempotency key, by which some endpoints drop duplicates for a limited time. */
+  IDEMPOTENCY_KEY,
+  /** Must never be executed twice. */
+  NON_IDEMPOTENT
+}
--- a/src/main/java/merlinrouter/node/ClientServer.java
+++ b/src/main/java/merlinrouter/node/ClientServer.java
@@ -42,9 +42,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinrouter.Ports.Repeat;
-import merlinrouter.Ports.Request;
-import merlinrouter.Ports.RequestClass;
+import merlinrouter.model.ClientRequest;
+import merlinrouter.model.Idempotency;
+import merlinrouter.settings.RequestClass;
 
 /** The listening side: reads clients' requests, turns away what is none, and writes the answers. */
 final class ClientServer {
@@ -284,23 +284,25 @@
     String id = name(need(headers, "X-Trace-Id"), "X-Trace-Id");
     int requestClass = index(config.names().classes(), headers, "X-Qos");
     int plan = index(config.names().plans(), headers, "X-Plan");
-    RequestClass spec = config.settings().classes().get(requestClass);
-    HttpMethod method = spec.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
+    RequestClass spec = config.settings().requestClasses().get(requestClass);
+    HttpMethod method =
+        spec.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
     if (!head.method().equals(method)) {
       throw new Refusal(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + method);
     }
     String key = only(headers, "Idempotency-Key");
-    if (key != null || spec.repeat() == Repeat.KEYED) {
+    if (key != null || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
       name(need(headers, "Idempotency-Key"), "Idempotency-Key");
     }
     // No client waits longer than its class lets it, whatever it says: its request would only be
     // held.
     long span =
-        whole(need(headers, "X-Expires-In-Ms"), "X-Expires-In-Ms", 1, 2 * spec.deadline() / MS);
+        whole(
+            need(headers, "X-Expires-In-Ms"), "X-Expires-In-Ms", 1, 2 * spec.deadlineNanos() / MS);
     Map<String, String> quota = quota(need(headers, "X-Quota"));
-    int siblings = config.settings().siblings();
-    Request request =
-        new Request(
+    int siblings = config.settings().gatewayCount();
+    ClientRequest request =
+        new ClientRequest(
             id,
             requestClass,
             plan,
@@ -382,7 +384,7 @@
   }
 
   private double units(String text) throws Refusal {
-    double units = Figures.amount(text, config.settings().counter().largest());
+    double units = Figures.amount(text, config.settings().counter().maxRequestUnits());
     if (Double.isNaN(units)) {
       throw bad("X-Quota units is not a number above 0 that one request may count");
     }
--- a/src/main/java/merlinrouter/node/Config.java
+++ b/src/main/java/merlinrouter/node/Config.java
@@ -12,10 +12,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinrouter.Ports.Readiness;
-import merlinrouter.Ports.Server;
-import merlinrouter.Ports.Settings;
-import merlinrouter.SettingsReader;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.settings.GatewaySettings;
+import merlinrouter.settings.SettingsReader;
 
 /**
  * What an edge node is told at its start.
@@ -41,7 +41,7 @@
     long connectTimeout,
     long keepAlive,
     Names names,
-    Settings settings) {
+    GatewaySettings settings) {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -73,7 +73,7 @@
   record Names(List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
 
   /** An app server and where this edge node reaches it. */
-  record Member(Server server, SocketAddress address) {}
+  record Member(Endpoint server, SocketAddress address) {}
 
   /** A message of discovery: the whole list if {@code complete}, else changed entries. */
   record Roll(long revision, boolean complete, List<Member> members) {}
@@ -143,7 +143,7 @@
       }
       number(pairs, key);
     }
-    Settings read;
+    GatewaySettings read;
     try {
       read = SettingsReader.read(pairs);
     } catch (IllegalArgumentException e) {
@@ -182,17 +182,17 @@
     List<Member> members = new ArrayList<>();
     for (JsonNode entry : node.get("members")) {
       String id = present(entry, "id").asText();
-      Readiness readiness =
+      EndpointState readiness =
           switch (present(entry, "phase").asText()) {
-            case "Ready" -> Readiness.READY;
-            case "Gone" -> Readiness.GONE;
-            default -> Readiness.DRAINING;
+            case "Ready" -> EndpointState.READY;
+            case "Gone" -> EndpointState.REMOVED;
+            default -> EndpointState.DRAINING;
           };
       // The wall clock's time here; ServerStartTimes turns it into the module's.
       long started = Math.max(0, entry.path("up_since_ms").asLong(0)) * 1_000_000L;
       members.add(
           new Member(
-              new Server(
+              new Endpoint(
                   id,
                   entry.path("size").asDouble(1),
                   names.zones.indexOf(entry.path("locality").asText()),
--- a/src/main/java/merlinrouter/node/CounterClient.java
+++ b/src/main/java/merlinrouter/node/CounterClient.java
@@ -19,7 +19,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import merlinrouter.Ports.Outcome;
+import merlinrouter.model.Outcome;
 
 /**
  * Calls to the shared counter, written one behind another on a few connections. A name always has
@@ -51,7 +51,7 @@
     this.listener = listener;
     this.loop = loop;
     address = config.counter();
-    timeout = Math.max(MS, config.settings().counter().timeout());
+    timeout = Math.max(MS, config.settings().counter().timeoutNanos());
     bootstrap =
         Transport.connecting(loop, config.discovery())
             .option(
@@ -293,7 +293,7 @@
           good &= known;
           call.end(known ? Outcome.OK : Outcome.RESET, known ? total : 0);
         }
-        case 503, 400, 404 -> call.end(Outcome.FULL, 0);
+        case 503, 400, 404 -> call.end(Outcome.REJECTED, 0);
         default -> {
           good = false;
           call.end(Outcome.RESET, 0);
--- a/src/main/java/merlinrouter/node/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/DiscoveryClient.java
@@ -28,7 +28,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import merlinrouter.Ports.ListKind;
+import merlinrouter.model.EndpointUpdateType;
 
 /**
  * Watches the list of app servers, from the last revision heard on. What discovery's agent holds
@@ -95,7 +95,7 @@
     this.loop = loop;
     names = config.names();
     address = config.discovery();
-    boolean asked = config.settings().limits().askForList();
+    boolean asked = config.settings().limits().endpointSubscription();
     mostBackoff = asked ? MOST_ASKING_MS : MOST_BACKOFF_MS;
     mutePatience = asked ? MUTE_ASKING_MS : MUTE_MS;
     bootstrap =
@@ -312,7 +312,7 @@
         return;
       }
       Config.Roll roll = Config.roll(text.toString(StandardCharsets.UTF_8), names);
-      node.list(roll, roll.complete() ? ListKind.FULL : ListKind.DELTA);
+      node.list(roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
       revision = roll.revision();
       heard = true;
       backoff = FIRST_BACKOFF_MS;
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -16,21 +16,21 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
-import merlinrouter.Gateway;
-import merlinrouter.Ports;
-import merlinrouter.Ports.ListKind;
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Readiness;
-import merlinrouter.Ports.RequestClass;
-import merlinrouter.Ports.Result;
-import merlinrouter.Ports.Server;
+import merlinrouter.gateway.Gateway;
+import merlinrouter.gateway.GatewayActions;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.RequestClass;
 
 /**
  * A real edge node: carries what happens on the sockets to the decision module and its actions
  * back. All of it runs on one event loop thread, so nothing here is locked and the module's
  * contract of one caller holds.
  */
-final class EdgeNode implements Ports.Actions, AutoCloseable {
+final class EdgeNode implements GatewayActions, AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -96,7 +96,7 @@
     this.log = log;
     guard = new InvariantGuard(log);
     budget = new ByteBudget(config.memory());
-    startTimes = new ServerStartTimes(config.settings().rules().coldSpan(), log);
+    startTimes = new ServerStartTimes(config.settings().rules().slowStartDurationNanos(), log);
     pool = new ServerPool(this, loop, config);
     counter = new CounterClient(this::counted, loop, config);
     discovery = new DiscoveryClient(this, loop, config);
@@ -110,7 +110,7 @@
               gateway = new Gateway(config.settings(), config.seed(), now(), this);
               loop.scheduleAtFixedRate(
                   this::housekeeping, CLOCK_LOOK, CLOCK_LOOK, TimeUnit.NANOSECONDS);
-              list(config.known(), ListKind.CACHED);
+              list(config.known(), EndpointUpdateType.CACHED);
               discovery.start(config.known().revision());
               if (early != null) {
                 move(early);
@@ -254,7 +254,7 @@
       if (about != null) {
         fail(about);
         // The module must not go on counting it; an attempt that is out still ends.
-        loop.execute(() -> event(null, now -> gateway.clientGone(now, about.request.id())));
+        loop.execute(() -> event(null, now -> gateway.clientDisconnected(now, about.request.id())));
       }
     } finally {
       inside = false;
@@ -267,9 +267,9 @@
   }
 
   /** The list of app servers, or changes to it. */
-  void list(Config.Roll roll, ListKind kind) {
-    List<Server> told = pool.update(withMonotonicStarts(roll), kind != ListKind.DELTA);
-    event(null, now -> gateway.list(now, kind, told));
+  void list(Config.Roll roll, EndpointUpdateType kind) {
+    List<Endpoint> told = pool.update(withMonotonicStarts(roll), kind != EndpointUpdateType.DELTA);
+    event(null, now -> gateway.endpointsUpdated(now, kind, told));
   }
 
   private Config.Roll withMonotonicStarts(Config.Roll roll) {
@@ -278,11 +278,11 @@
     List<Config.Member> members = new ArrayList<>();
     Set<String> named = new HashSet<>();
     for (Config.Member member : roll.members()) {
-      Server server = member.server();
+      Endpoint server = member.server();
       named.add(server.id());
-      long started = startTimes.momentOf(server.id(), server.startedAt(), now);
-      members.add(new Config.Member(server.startingAt(started), member.address()));
-      if (server.readiness() == Readiness.GONE) {
+      long started = startTimes.momentOf(server.id(), server.startedAtNanos(), now);
+      members.add(new Config.Member(server.withStartedAtNanos(started), member.address()));
+      if (server.state() == EndpointState.REMOVED) {
         startTimes.forget(server.id());
       }
     }
@@ -314,11 +314,11 @@
     if (open.putIfAbsent(taken.request.id(), taken) != null) {
       return false;
     }
-    long left = taken.request.deadline() + LATE_MODULE - now();
+    long left = taken.request.deadlineNanos() + LATE_MODULE - now();
     // The backstop for a module that is late: no request may be left without an answer.
     taken.overdue = loop.schedule(() -> overdue(taken), Math.max(0, left), TimeUnit.NANOSECONDS);
     budget.change(taken.body.readableBytes());
-    event(taken, now -> gateway.request(now, taken.request));
+    event(taken, now -> gateway.requestReceived(now, taken.request));
     return true;
   }
 
@@ -329,7 +329,7 @@
           late.request.id(),
           late.attempts + " attempts, " + (late.attemptOut ? "one out" : "none out"));
       fail(late);
-      event(null, now -> gateway.clientGone(now, late.request.id()));
+      event(null, now -> gateway.clientDisconnected(now, late.request.id()));
     }
   }
 
@@ -338,7 +338,7 @@
     if (gone.answerOnce() != null) {
       log.count(NodeLog.Event.CLIENT_LEFT);
       settle(gone);
-      event(gone, now -> gateway.clientGone(now, gone.request.id()));
+      event(gone, now -> gateway.clientDisconnected(now, gone.request.id()));
     }
   }
 
@@ -360,13 +360,13 @@
         now ->
             gateway.attemptEnded(
                 now,
-                new Result(
+                new AttemptResult(
                     of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
     settle(of);
   }
 
   private void counted(long name, Outcome outcome, double total) {
-    event(null, now -> gateway.counted(now, name, outcome, total));
+    event(null, now -> gateway.counterCallEnded(now, name, outcome, total));
   }
 
   /** Forgets a request once it is answered and no attempt of it is out. */
@@ -379,7 +379,7 @@
   }
 
   @Override
-  public void send(String id, String server, long patience) {
+  public void startAttempt(String id, String server, long patience) {
     OpenRequest of = open.get(id);
     if (of != null && !of.attemptOut && !of.awaited()) {
       fail(of);
@@ -389,8 +389,9 @@
     }
     if (of == null || of.answered || !guard.maySend(of, classOf(of), now())) {
       // It may not go out, but the module counts it as out until it hears how it ended.
-      Result moot =
-          new Result(id, Outcome.NOT_SENT, 0, server, of == null || of.answered, 0, 0, List.of());
+      AttemptResult moot =
+          new AttemptResult(
+              id, Outcome.NOT_SENT, 0, server, of == null || of.answered, 0, 0, List.of());
       loop.execute(() -> event(null, now -> gateway.attemptEnded(now, moot)));
       return;
     }
@@ -404,11 +405,11 @@
   }
 
   private RequestClass classOf(OpenRequest of) {
-    return config.settings().classes().get(of.request.requestClass());
+    return config.settings().requestClasses().get(of.request.classIndex());
   }
 
   @Override
-  public void refuse(String id, long retryAfter) {
+  public void reject(String id, long retryAfter) {
     OpenRequest of = open.get(id);
     OpenRequest.Answers answers = of == null ? null : of.answerOnce();
     if (answers != null) {
@@ -436,22 +437,23 @@
   }
 
   @Override
-  public void probe(String server) {
+  public void startHealthCheck(String server) {
     // The site does not allow it, and the module asks only where the settings do.
   }
 
   @Override
-  public void count(long name, double amount, long lifetime) {
+  public void addToCounter(long name, double amount, long lifetime) {
     counter.count(name, amount, lifetime);
   }
 
   @Override
-  public void timer(long token, long span) {
-    loop.schedule(() -> event(null, now -> gateway.timer(now, token)), span, TimeUnit.NANOSECONDS);
+  public void scheduleTimer(long token, long span) {
+    loop.schedule(
+        () -> event(null, now -> gateway.timerFired(now, token)), span, TimeUnit.NANOSECONDS);
   }
 
   @Override
-  public void watchList() {
+  public void subscribeToEndpoints() {
     // Discovery is watched from the start and again whenever a watch ends.
   }
 
--- a/src/main/java/merlinrouter/node/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/InvariantGuard.java
@@ -1,8 +1,8 @@
 package merlinrouter.node;
 
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Repeat;
-import merlinrouter.Ports.RequestClass;
+import merlinrouter.model.Idempotency;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.RequestClass;
 
 /**
  * The last check before an attempt begins, a request is repeated or a client's connection is
@@ -28,11 +28,11 @@
     String broken = null;
     if (request.attemptOut) {
       broken = "an attempt would begin while another is out";
-    } else if (request.mayHaveRun && spec.repeat() == Repeat.UNSAFE) {
+    } else if (request.mayHaveRun && spec.idempotency() == Idempotency.NON_IDEMPOTENT) {
       broken = "an unsafe request that may have run would be sent again";
     } else if (request.mayHaveRun
-        && spec.repeat() == Repeat.KEYED
-        && now - request.firstMayHaveRunAt > spec.keyWindow()) {
+        && spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+        && now - request.firstMayHaveRunAt > spec.deduplicationWindowNanos()) {
       broken = "a keyed request would be sent again behind its key's window";
     }
     if (broken != null) {
@@ -45,7 +45,7 @@
    * Notes the end of an attempt that began at {@code begunAt} of the node's clock, in nanoseconds.
    */
   void attemptEnded(OpenRequest request, Outcome outcome, long begunAt) {
-    if (!outcome.provesNeverRan() && !request.mayHaveRun) {
+    if (!outcome.provesNotExecuted() && !request.mayHaveRun) {
       request.mayHaveRun = true;
       request.firstMayHaveRunAt = begunAt;
     }
--- a/src/main/java/merlinrouter/node/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/OpenRequest.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
-import merlinrouter.Ports.Request;
+import merlinrouter.model.ClientRequest;
 
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
 final class OpenRequest {
@@ -27,7 +27,7 @@
     boolean hasLeft();
   }
 
-  final Request request;
+  final ClientRequest request;
   final HttpMethod method;
   final String uri;
   final String key;
@@ -48,7 +48,12 @@
 
   /** Takes over the body. */
   OpenRequest(
-      Request request, HttpMethod method, String uri, String key, ByteBuf body, Answers answers) {
+      ClientRequest request,
+      HttpMethod method,
+      String uri,
+      String key,
+      ByteBuf body,
+      Answers answers) {
     this.request = request;
     this.method = method;
     this.uri = uri;
--- a/src/main/java/merlinrouter/node/Rehearsal.java
+++ b/src/main/java/merlinrouter/node/Rehearsal.java
@@ -34,12 +34,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import merlinrouter.Ports.Plan;
-import merlinrouter.Ports.Readiness;
-import merlinrouter.Ports.Repeat;
-import merlinrouter.Ports.RequestClass;
-import merlinrouter.Ports.Server;
-import merlinrouter.Ports.Settings;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.Idempotency;
+import merlinrouter.settings.GatewaySettings;
+import merlinrouter.settings.QuotaPlan;
+import merlinrouter.settings.RequestClass;
 
 /**
  * What a node does before it serves: a second node of the same settings, with a module of its own,
@@ -113,13 +113,13 @@
       long started = i > 0 ? 0 : TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
       members.add(
           new Config.Member(
-              new Server(
+              new Endpoint(
                   "rehearsal-" + i,
                   1,
                   i % Math.max(1, config.names().zones().size()),
                   i,
                   0,
-                  Readiness.READY,
+                  EndpointState.READY,
                   started),
               address));
     }
@@ -163,30 +163,30 @@
   }
 
   /** A ceiling starts with nothing and would turn away all that is asked at once. */
-  private static Settings unceiled(Settings of) {
-    List<Plan> plans =
-        of.plans().stream()
+  private static GatewaySettings unceiled(GatewaySettings of) {
+    List<QuotaPlan> plans =
+        of.quotaPlans().stream()
             .map(
                 plan ->
-                    new Plan(
-                        plan.rate(),
-                        plan.burst(),
-                        plan.atOnce(),
-                        plan.price(),
-                        plan.beyondEarns(),
-                        plan.beyondCosts(),
+                    new QuotaPlan(
+                        plan.unitsPerSecond(),
+                        plan.burstUnits(),
+                        plan.maxConcurrentRequests(),
+                        plan.valueFactor(),
+                        plan.overQuotaValue(),
+                        plan.overQuotaCost(),
                         0,
                         0,
                         0))
             .toList();
-    return new Settings(
-        of.me(),
-        of.siblings(),
+    return new GatewaySettings(
+        of.gatewayNumber(),
+        of.gatewayCount(),
         of.zone(),
-        of.tick(),
-        of.sizesTell(),
-        of.reports(),
-        of.classes(),
+        of.eventIntervalNanos(),
+        of.weightsMeaningful(),
+        of.loadReportNames(),
+        of.requestClasses(),
         plans,
         of.limits(),
         of.counter(),
@@ -276,8 +276,9 @@
 
     private void ask(Channel channel) {
       int n = sent++;
-      RequestClass spec = config.settings().classes().get(n % config.settings().classes().size());
-      boolean safe = spec.repeat() == Repeat.SAFE;
+      RequestClass spec =
+          config.settings().requestClasses().get(n % config.settings().requestClasses().size());
+      boolean safe = spec.idempotency() == Idempotency.IDEMPOTENT;
       StringBuilder text =
           new StringBuilder(safe ? "GET" : "POST")
               .append(" /api?slot=")
@@ -291,9 +292,9 @@
               .append("\r\nCookie: customer=")
               .append("0" + Long.toHexString(FIRST_CUSTOMER + n % CUSTOMERS).substring(1))
               .append("\r\nX-Expires-In-Ms: ")
-              .append(spec.deadline() / 1_000_000)
+              .append(spec.deadlineNanos() / 1_000_000)
               .append("\r\nX-Quota: units=1,spread=")
-              .append(config.settings().siblings())
+              .append(config.settings().gatewayCount())
               .append(",first=0\r\n");
       if (!safe) {
         text.append("Idempotency-Key: k")
--- a/src/main/java/merlinrouter/node/ServerPool.java
+++ b/src/main/java/merlinrouter/node/ServerPool.java
@@ -26,9 +26,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Readiness;
-import merlinrouter.Ports.Server;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.Outcome;
 
 /**
  * Connections to app servers, one request on each at a time, and the attempts on them with their
@@ -58,13 +58,13 @@
   private final Bootstrap bootstrap;
   private final NodeLog log;
   private final long connectTimeout;
-  private final Map<String, Endpoint> endpoints = new HashMap<>();
+  private final Map<String, EndpointPool> endpoints = new HashMap<>();
 
   /**
    * Who has an address: looked for among all of a thousand, each list would cost a million
    * comparisons.
    */
-  private final Map<SocketAddress, Endpoint> holders = new HashMap<>();
+  private final Map<SocketAddress, EndpointPool> holders = new HashMap<>();
 
   private final long idleLimit;
   private final int most;
@@ -79,7 +79,7 @@
     // Well before the app server does: a request written to a connection that it closes ends as a
     // reset.
     idleLimit = config.keepAlive() / 2;
-    mostUnits = config.settings().counter().largest();
+    mostUnits = config.settings().counter().maxRequestUnits();
     most = Math.max(16, config.sockets() * 3 / 8);
     bootstrap =
         Transport.connecting(loop, config.discovery())
@@ -98,17 +98,17 @@
   }
 
   /** One run of an app server at one address; a restart or a move makes a new one. */
-  private static final class Endpoint {
-    private final Server server;
+  private static final class EndpointPool {
+    private final Endpoint server;
     private final SocketAddress address;
     private final long startedAt;
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private boolean retired;
 
-    Endpoint(Config.Member member) {
+    EndpointPool(Config.Member member) {
       server = member.server();
       address = member.address();
-      startedAt = server.startedAt();
+      startedAt = server.startedAtNanos();
     }
 
     /**
@@ -145,15 +145,15 @@
    * yet. Under the old id the new one would be reached unknown, with neither its cold start nor its
    * drain.
    */
-  List<Server> update(Config.Roll roll, boolean whole) {
-    List<Server> told = new ArrayList<>();
+  List<Endpoint> update(Config.Roll roll, boolean whole) {
+    List<Endpoint> told = new ArrayList<>();
     Set<String> named = new HashSet<>();
     for (Config.Member member : roll.members()) {
-      Server server = member.server();
+      Endpoint server = member.server();
       named.add(server.id());
-      boolean ready = server.readiness() == Readiness.READY;
-      Endpoint holder = ready ? holder(member) : null;
-      if (holder != null && holder.startedAt > server.startedAt()) {
+      boolean ready = server.state() == EndpointState.READY;
+      EndpointPool holder = ready ? holder(member) : null;
+      if (holder != null && holder.startedAt > server.startedAtNanos()) {
         ready = false;
         server = gone(server);
       } else if (holder != null) {
@@ -161,16 +161,16 @@
         drop(holder);
       }
       told.add(server);
-      Endpoint known = endpoints.get(server.id());
+      EndpointPool known = endpoints.get(server.id());
       boolean same =
           known != null
               && known.address.equals(member.address())
-              && known.startedAt == server.startedAt();
+              && known.startedAt == server.startedAtNanos();
       if (known != null && (!ready || !same)) {
         drop(known);
       }
       if (ready && !same) {
-        Endpoint made = new Endpoint(member);
+        EndpointPool made = new EndpointPool(member);
         endpoints.put(server.id(), made);
         holders.put(made.address, made);
       }
@@ -183,23 +183,23 @@
     return told;
   }
 
-  private Endpoint holder(Config.Member of) {
-    Endpoint holder = holders.get(of.address());
+  private EndpointPool holder(Config.Member of) {
+    EndpointPool holder = holders.get(of.address());
     return holder == null || holder.server.id().equals(of.server().id()) ? null : holder;
   }
 
-  private static Server gone(Server server) {
-    return new Server(
+  private static Endpoint gone(Endpoint server) {
+    return new Endpoint(
         server.id(),
-        server.size(),
+        server.weight(),
         server.zone(),
         server.cell(),
-        server.kind(),
-        Readiness.GONE,
-        server.startedAt());
+        server.machineType(),
+        EndpointState.REMOVED,
+        server.startedAtNanos());
   }
 
-  private void drop(Endpoint endpoint) {
+  private void drop(EndpointPool endpoint) {
     endpoint.retire();
     endpoints.remove(endpoint.server.id());
     holders.remove(endpoint.address, endpoint);
@@ -208,7 +208,7 @@
   /** Begins an attempt; its outcome is told later, never from within this call. */
   void send(OpenRequest of, String server, long patience) {
     Attempt attempt = new Attempt(of, server, patience);
-    Endpoint endpoint = endpoints.get(server);
+    EndpointPool endpoint = endpoints.get(server);
     if (endpoint == null || connections >= most && !makeRoom(endpoint)) {
       loop.execute(() -> attempt.end(Outcome.NOT_SENT, 0, null));
       return;
@@ -228,7 +228,7 @@
     }
   }
 
-  private void connect(Endpoint endpoint, Attempt attempt) {
+  private void connect(EndpointPool endpoint, Attempt attempt) {
     long left = connectTimeout - (System.nanoTime() - attempt.sentAt);
     ChannelFuture connecting =
         bootstrap
@@ -263,7 +263,7 @@
    * server's failure. All tries of an attempt together take no longer than one connect may, which
    * the window of a key relies on.
    */
-  private void connectAgain(Endpoint endpoint, Attempt attempt) {
+  private void connectAgain(EndpointPool endpoint, Attempt attempt) {
     log.count(NodeLog.Event.LOCAL_CONNECT_FAILED);
     loop.schedule(
         () -> {
@@ -282,11 +282,11 @@
   }
 
   /** At the bound on connections another server's longest idle one gives way. */
-  private boolean makeRoom(Endpoint wanted) {
+  private boolean makeRoom(EndpointPool wanted) {
     if (!wanted.idle.isEmpty()) {
       return true;
     }
-    for (Endpoint endpoint : endpoints.values()) {
+    for (EndpointPool endpoint : endpoints.values()) {
       Connection oldest = endpoint.idle.pollLast();
       if (oldest != null) {
         oldest.channel.close();
@@ -308,7 +308,7 @@
 
   private void closeIdle() {
     long due = System.nanoTime() - idleLimit;
-    for (Endpoint endpoint : endpoints.values()) {
+    for (EndpointPool endpoint : endpoints.values()) {
       endpoint.closeIdleSince(due);
     }
   }
@@ -377,7 +377,7 @@
   private final class Connection extends AnswerHandler {
     private final AnswerDecoder decoder;
     private Channel channel;
-    private Endpoint endpoint;
+    private EndpointPool endpoint;
     private Attempt attempt;
     private boolean reusable, rested = true;
     private long idleSince;
@@ -510,7 +510,7 @@
       }
       boolean neverRan =
           (status == 503 || status == 504) && "1".equals(answer.headers().get("X-Never-Ran"));
-      return neverRan ? Outcome.FULL : Outcome.ERROR;
+      return neverRan ? Outcome.REJECTED : Outcome.ERROR;
     }
 
     /** A figure that cannot be read, or more than a request may count, is as good as none. */
--- a/src/main/java/merlinrouter/simulator/WireReader.java
+++ b/src/main/java/merlinrouter/simulator/WireReader.java
@@ -6,14 +6,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinrouter.Gateway;
-import merlinrouter.Ports.ListKind;
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Readiness;
-import merlinrouter.Ports.Request;
-import merlinrouter.Ports.Result;
-import merlinrouter.Ports.Server;
-import merlinrouter.SettingsReader;
+import merlinrouter.gateway.Gateway;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.ClientRequest;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.SettingsReader;
 
 /**
  * Reads batches of the wire, hands each event to the gateway concerned and has the reply written.
@@ -82,9 +82,9 @@
       case "view" -> view(node);
       case "ingress" ->
           gateway(node)
-              .request(
+              .requestReceived(
                   now,
-                  new Request(
+                  new ClientRequest(
                       text(2),
                       integer(3),
                       integer(4),
@@ -98,7 +98,7 @@
           gateway(node)
               .attemptEnded(
                   now,
-                  new Result(
+                  new AttemptResult(
                       text(2),
                       outcome(3),
                       whole(4),
@@ -107,11 +107,12 @@
                       integer(7),
                       number(9),
                       numbers(10)));
-      case "client_gone" -> gateway(node).clientGone(now, text(2));
-      case "under_way" -> gateway(node).streamStarted(now, text(2));
-      case "count_result" -> gateway(node).counted(now, whole(4), outcome(3), number(2));
-      case "probed" -> gateway(node).probed(now, text(4), outcome(3), whole(2), numbers(5));
-      case "reminder" -> gateway(node).timer(now, whole(2));
+      case "client_gone" -> gateway(node).clientDisconnected(now, text(2));
+      case "under_way" -> gateway(node).responseStarted(now, text(2));
+      case "count_result" -> gateway(node).counterCallEnded(now, whole(4), outcome(3), number(2));
+      case "probed" ->
+          gateway(node).healthCheckEnded(now, text(4), outcome(3), whole(2), numbers(5));
+      case "reminder" -> gateway(node).timerFired(now, whole(2));
       case "memo" -> gateway(node);
       default -> throw malformed("unknown event");
     }
@@ -119,31 +120,32 @@
 
   private void view(int node) throws IOException, MalformedInput {
     Gateway gateway = gateway(node);
-    ListKind kind =
+    EndpointUpdateType kind =
         switch (integer(3)) {
-          case 0 -> ListKind.FULL;
-          case 1 -> ListKind.CACHED;
-          case 2 -> ListKind.DELTA;
-          case 3 -> ListKind.FAILED;
+          case 0 -> EndpointUpdateType.FULL;
+          case 1 -> EndpointUpdateType.CACHED;
+          case 2 -> EndpointUpdateType.DELTA;
+          case 3 -> EndpointUpdateType.FAILED;
           default -> throw malformed("unknown kind of list");
         };
     int count = integer(4);
-    List<Server> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       if (!next() || !parts[0].equals("entry")) {
         throw malformed("'entry' expected");
       }
-      Readiness readiness =
+      EndpointState readiness =
           switch (integer(3)) {
-            case 0 -> Readiness.GONE;
-            case 1 -> Readiness.READY;
-            case 2 -> Readiness.DRAINING;
+            case 0 -> EndpointState.REMOVED;
+            case 1 -> EndpointState.READY;
+            case 2 -> EndpointState.DRAINING;
             default -> throw malformed("unknown readiness");
           };
       entries.add(
-          new Server(text(6), number(1), integer(2), integer(5), integer(7), readiness, whole(4)));
+          new Endpoint(
+              text(6), number(1), integer(2), integer(5), integer(7), readiness, whole(4)));
     }
-    gateway.list(now, kind, entries);
+    gateway.endpointsUpdated(now, kind, entries);
   }
 
   private Gateway gateway(int node) throws MalformedInput {
@@ -158,7 +160,7 @@
     return switch (text(at)) {
       case "S" -> Outcome.OK;
       case "E" -> Outcome.ERROR;
-      case "F" -> Outcome.FULL;
+      case "F" -> Outcome.REJECTED;
       case "T" -> Outcome.TIMEOUT;
       case "C" -> Outcome.CONNECT_FAILED;
       case "R" -> Outcome.RESET;
--- a/src/main/java/merlinrouter/simulator/WireWriter.java
+++ b/src/main/java/merlinrouter/simulator/WireWriter.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.io.Writer;
-import merlinrouter.Ports.Actions;
+import merlinrouter.gateway.GatewayActions;
 
 /** Writes actions as lines of the wire. */
 final class WireWriter {
@@ -14,7 +14,7 @@
   }
 
   /** The actions of one instance. */
-  Actions actionsOf(int node) {
+  GatewayActions actionsOf(int node) {
     return new NodeActions(node);
   }
 
@@ -26,7 +26,7 @@
     reply.setLength(0);
   }
 
-  private final class NodeActions implements Actions {
+  private final class NodeActions implements GatewayActions {
     private final int node;
 
     NodeActions(int node) {
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void send(String id, String server, long patience) {
+    public void startAttempt(String id, String server, long patience) {
       line("try")
           .append(' ')
           .append(id)
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
       line("decline").append(' ').append(id).append(' ').append(retryAfter).append('\n');
     }
 
@@ -60,12 +60,12 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void startHealthCheck(String server) {
       line("inspect").append(' ').append(server).append('\n');
     }
 
     @Override
-    public void count(long name, double amount, long lifetime) {
+    public void addToCounter(long name, double amount, long lifetime) {
       line("enter").append(' ').append(lifetime).append(' ');
       if (amount == Math.rint(amount)) {
         reply.append((long) amount);
@@ -76,12 +76,12 @@
     }
 
     @Override
-    public void timer(long token, long span) {
+    public void scheduleTimer(long token, long span) {
       line("after").append(' ').append(token).append(' ').append(span).append('\n');
     }
 
     @Override
-    public void watchList() {
+    public void subscribeToEndpoints() {
       line("subscribe").append(" 1\n");
     }
 
--- a/src/test/java/merlinrouter/MechanismTest.java
+++ b/src/test/java/merlinrouter/gateway/MechanismTest.java
@@ -1,8 +1,8 @@
-package merlinrouter;
+package merlinrouter.gateway;
 
-import static merlinrouter.Host.MS;
-import static merlinrouter.Host.SAFE;
-import static merlinrouter.Host.UNSAFE;
+import static merlinrouter.gateway.Host.MS;
+import static merlinrouter.gateway.Host.SAFE;
+import static merlinrouter.gateway.Host.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,9 +14,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Plan;
-import merlinrouter.Ports.Readiness;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.QuotaPlan;
 import org.ejml.simple.SimpleMatrix;
 import org.junit.jupiter.api.Test;
 
@@ -113,7 +114,7 @@
     Host host = new Host(Host.FREE, 1, 0).servers(6);
     for (int i = 0; i < 60; i++) {
       String id = host.request(SAFE, 1);
-      host.end(id, Outcome.FULL, false);
+      host.end(id, Outcome.REJECTED, false);
       assertEquals(2, host.attempts(id).size(), "request " + i);
       host.end(id, Outcome.OK);
     }
@@ -129,14 +130,14 @@
         host.counted.clear();
         for (Host.Counted call : calls) {
           double total = totals.merge(call.name(), call.amount(), Double::sum);
-          host.gateway.counted(host.now, call.name(), Outcome.OK, total);
+          host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, total);
         }
       }
     }
   }
 
   private static double heavyUse(boolean counterAnswers, int seconds) {
-    Plan plan = new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0);
+    QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
     List<Host> hosts = new ArrayList<>();
     for (int me = 0; me < 3; me++) {
       hosts.add(new Host(plan, 3, me).servers(20));
@@ -180,7 +181,7 @@
 
   @Test
   void aCustomerRefusedAfterTheOthersSpikeIsLetInAgain() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
     Map<Long, Double> totals = new HashMap<>();
     String last = "";
     int refusedInSpike = 0;
@@ -194,7 +195,7 @@
         // For four seconds the others use far more than the rate, then nothing.
         double others = tick < 400 ? 600 : 0;
         double total = totals.merge(call.name(), call.amount() + others, Double::sum);
-        host.gateway.counted(host.now, call.name(), Outcome.OK, total);
+        host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, total);
       }
       host.counted.clear();
       refusedInSpike = tick == 300 ? host.refused.size() : refusedInSpike;
@@ -205,7 +206,7 @@
 
   @Test
   void callsKeepToABudget() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
     int most = 0;
     for (int tick = 0; tick < 500; tick++) {
       // A hundred customers at once, each never heard of; the counter turns every call away.
@@ -218,21 +219,22 @@
       most = Math.max(most, host.counted.size());
       List<Host.Counted> calls = List.copyOf(host.counted);
       host.counted.clear();
-      calls.forEach(call -> host.gateway.counted(host.now, call.name(), Outcome.FULL, 0));
+      calls.forEach(
+          call -> host.gateway.counterCallEnded(host.now, call.name(), Outcome.REJECTED, 0));
     }
     assertTrue(most >= 1 && most <= 2, "calls at one moment: " + most);
   }
 
   @Test
   void aCustomerNeverHeardOfIsAskedForFirst() {
-    Plan plan = new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0);
+    QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
     for (double others : new double[] {0, 100}) {
       Host host = new Host(plan, 300, 0).servers(20);
       host.pass(1000 * MS);
       String id = host.request(SAFE, 0, 7, 2, host.now + 3000 * MS);
       assertEquals(0, host.sent.size(), "held until the total is there");
       Host.Counted call = host.counted.get(0);
-      host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount() + others);
+      host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, call.amount() + others);
       assertEquals(others > 0 ? 0 : 1, host.attempts(id).size());
       assertEquals(others > 0 ? 1 : 0, host.refused.size());
     }
@@ -240,7 +242,7 @@
 
   @Test
   void scarceCallsGoWhereMoreIsAtStake() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
     int[] calls = new int[5];
     for (int tick = 0; tick < 2000; tick++) {
       // Each customer once, of 1 or 4 units in turn; far more of them than calls.
@@ -250,7 +252,7 @@
       host.pass(20 * MS);
       for (Host.Counted call : List.copyOf(host.counted)) {
         calls[(int) Math.max(0, call.amount())]++;
-        host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount());
+        host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, call.amount());
       }
       host.counted.clear();
       host.attempts(id).forEach(s -> host.end(s.id(), Outcome.OK));
@@ -260,7 +262,7 @@
 
   @Test
   void aCallThatNeverEndsDoesNotHoldItsRequest() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
     host.pass(1000 * MS);
     String id = host.request(SAFE, 1);
     host.pass(200 * MS);
@@ -285,8 +287,8 @@
     for (List<Double> other : List.of(busy, List.<Double>of())) {
       for (int i = 0; i < 20; i++) {
         host.pass(1000 * MS);
-        host.gateway.probed(host.now, "a", Outcome.OK, MS, other);
-        host.gateway.probed(host.now, "b", Outcome.OK, MS, List.of(1.0));
+        host.gateway.healthCheckEnded(host.now, "a", Outcome.OK, MS, other);
+        host.gateway.healthCheckEnded(host.now, "b", Outcome.OK, MS, List.of(1.0));
         String id = host.request(SAFE, 1);
         assertEquals("b", host.attempts(id).get(0).server(), "report of a: " + other);
         host.end(id, Outcome.OK);
@@ -302,10 +304,10 @@
     host.request(SAFE, 5, 1, 1, host.now + 3000 * MS);
     assertEquals(2, host.refused.size());
     host.gateway.attemptEnded(
-        host.now, new Ports.Result("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
-    host.gateway.clientGone(host.now, "nobody");
-    host.gateway.counted(host.now, 5, Outcome.OK, 3);
-    host.gateway.probed(host.now, "nobody", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
+        host.now, new AttemptResult("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
+    host.gateway.clientDisconnected(host.now, "nobody");
+    host.gateway.counterCallEnded(host.now, 5, Outcome.OK, 3);
+    host.gateway.healthCheckEnded(host.now, "nobody", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
     host.servers(1);
     host.request(SAFE, 0);
     assertEquals(1, host.sent.size());
@@ -314,7 +316,7 @@
   /** Ever new customers once grew the table for as long as the gateway ran. */
   @Test
   void aCustomerWhoseStoresAreFullAgainIsForgottenAndNoOther() {
-    Host host = new Host(new Plan(1, 4, 0, 1, 0, 1, 2, 8, 4), 1, 0, false).servers(2);
+    Host host = new Host(new QuotaPlan(1, 4, 0, 1, 0, 1, 2, 8, 4), 1, 0, false).servers(2);
     host.pass(10_000 * Host.MS);
     for (long customer = 0; customer < 300; customer++) {
       host.end(host.request(Host.SAFE, 0, customer, 1, host.now + 3000 * Host.MS), Outcome.OK);
@@ -341,20 +343,20 @@
   @Test
   void aServerThatIsGoneIsForgottenWithItsLastAttempt() {
     Host host = new Host(Host.FREE, 1, 0);
-    host.server("a", 0, Readiness.READY, 0);
+    host.server("a", 0, EndpointState.READY, 0);
     String id = host.request(Host.UNSAFE, 0, 1, 1, host.now + 90_000 * Host.MS);
     for (int i = 0; i < 100; i++) {
-      host.server("n" + i, 0, Readiness.READY, 0);
-      host.server("n" + i, 0, Readiness.GONE, 0);
+      host.server("n" + i, 0, EndpointState.READY, 0);
+      host.server("n" + i, 0, EndpointState.REMOVED, 0);
     }
     assertEquals(102, host.gateway.remembered(), "for a while they might come back");
-    host.server("a", 0, Readiness.GONE, 0);
+    host.server("a", 0, EndpointState.REMOVED, 0);
     host.pass(31_000 * Host.MS);
-    host.server("b", 0, Readiness.READY, 0);
+    host.server("b", 0, EndpointState.READY, 0);
     assertEquals(3, host.gateway.remembered(), "the customer, b, and a with its attempt");
     host.end(id, Outcome.RESET);
     assertTrue(host.failed.contains(id));
-    host.server("never", 0, Readiness.GONE, 0);
+    host.server("never", 0, EndpointState.REMOVED, 0);
     assertEquals(2, host.gateway.remembered());
   }
 
@@ -366,14 +368,14 @@
   }
 
   private static int callsOfTheFirstSecond(int siblings) {
-    Host host = new Host(new Plan(5, 10, 0, 1, 0, 1, 0, 0, 0), siblings, 0).servers(4);
+    Host host = new Host(new QuotaPlan(5, 10, 0, 1, 0, 1, 0, 0, 0), siblings, 0).servers(4);
     int answered = 0;
     for (long customer = 0; customer < 40; customer++) {
       host.request(SAFE, 0, customer, 1, host.now + 3000 * MS);
       host.pass(25 * MS);
       for (; answered < host.counted.size(); answered++) {
         Host.Counted call = host.counted.get(answered);
-        host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount());
+        host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, call.amount());
       }
     }
     return answered;
@@ -408,7 +410,7 @@
   /** A line to the counter that breaks now and then is no silent counter, nor a crowded one. */
   @Test
   void aCallThatBreaksNeitherSilencesTheCounterNorSlowsTheCalls() {
-    Host host = new Host(new Plan(5, 10, 0, 1, 0, 1, 0, 0, 0), 4, 0).servers(4);
+    Host host = new Host(new QuotaPlan(5, 10, 0, 1, 0, 1, 0, 0, 0), 4, 0).servers(4);
     int calls = 0;
     for (int tick = 0; tick < 3000; tick++) {
       if (tick % 4 == 0) {
@@ -418,7 +420,7 @@
       List<Host.Counted> made = List.copyOf(host.counted);
       host.counted.clear();
       for (Host.Counted call : made) {
-        host.gateway.counted(
+        host.gateway.counterCallEnded(
             host.now, call.name(), ++calls % 3 == 0 ? Outcome.RESET : Outcome.OK, call.amount());
       }
     }
@@ -432,7 +434,7 @@
    */
   @Test
   void whatOneCustomerIsRefusedDoesNotMakeTheUseOfAnotherLookLarger() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
     for (int i = 0; i < 400; i++) {
       host.request(SAFE, 0, 1, 1, host.now + 900 * MS);
       answerWithOthers(host, 0);
@@ -452,7 +454,7 @@
     List<Host.Counted> made = List.copyOf(host.counted);
     host.counted.clear();
     for (Host.Counted call : made) {
-      host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount() + others);
+      host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, call.amount() + others);
     }
   }
 
@@ -469,7 +471,7 @@
 
   /** Calls for 500 customers in 25 s, one of so many answers being late. */
   private static int callsWithLateOnes(int every) {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 14, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 14, 0).servers(20);
     int calls = 0;
     for (long customer = 0; customer < 500; customer++) {
       host.request(SAFE, 0, customer, 1, host.now + 900 * MS);
@@ -478,7 +480,8 @@
       long span = ++calls % every == 0 ? 40 * MS : 5 * MS;
       calls += made.size() - 1;
       host.now += span;
-      made.forEach(call -> host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount()));
+      made.forEach(
+          call -> host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, call.amount()));
       host.pass(50 * MS - span);
     }
     return calls;
@@ -513,7 +516,7 @@
    */
   @Test
   void useThatWasNotAskedForIsToldThoughCallsAreScarce() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 14, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 14, 0).servers(20);
     double told = 0;
     int ended = 0;
     for (int tick = 0; tick < 2000; tick++) {
@@ -525,7 +528,7 @@
       for (Host.Counted call : made) {
         told += call.amount();
         // As late as a counter at its best load is.
-        host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount());
+        host.gateway.counterCallEnded(host.now, call.name(), Outcome.OK, call.amount());
       }
       for (; ended < host.sent.size(); ended++) {
         host.end(host.sent.get(ended).id(), Outcome.OK);
--- a/src/test/java/merlinrouter/RulesTest.java
+++ b/src/test/java/merlinrouter/gateway/RulesTest.java
@@ -1,10 +1,10 @@
-package merlinrouter;
+package merlinrouter.gateway;
 
-import static merlinrouter.Host.KEYED_ALL;
-import static merlinrouter.Host.KEYED_CELL;
-import static merlinrouter.Host.MS;
-import static merlinrouter.Host.SAFE;
-import static merlinrouter.Host.UNSAFE;
+import static merlinrouter.gateway.Host.KEYED_ALL;
+import static merlinrouter.gateway.Host.KEYED_CELL;
+import static merlinrouter.gateway.Host.MS;
+import static merlinrouter.gateway.Host.SAFE;
+import static merlinrouter.gateway.Host.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,10 +13,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinrouter.Ports.ListKind;
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Plan;
-import merlinrouter.Ports.Readiness;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.QuotaPlan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -67,7 +67,7 @@
   void nothingFollowsWhenTheClientIsGone() {
     host.servers(2);
     String id = host.request(SAFE, 1);
-    host.gateway.clientGone(host.now, id);
+    host.gateway.clientDisconnected(host.now, id);
     host.end(id, Outcome.ERROR, true);
     host.pass(2000 * MS);
     assertEquals(1, host.attempts(id).size());
@@ -84,7 +84,7 @@
     host.servers(3);
     String id = host.request(UNSAFE, 1);
     host.end(id, outcome, false);
-    if (outcome.provesNeverRan()) {
+    if (outcome.provesNotExecuted()) {
       assertEquals(2, host.attempts(id).size());
     } else {
       assertEquals(1, host.attempts(id).size());
@@ -125,7 +125,7 @@
 
   @Test
   void attemptsOverTheCapWaitAndHoldUpNobodyElse() {
-    Host capped = new Host(new Plan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).servers(4);
+    Host capped = new Host(new QuotaPlan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).servers(4);
     for (int i = 0; i < 4; i++) {
       capped.request(SAFE, 1);
     }
@@ -139,21 +139,21 @@
   @Test
   void drainToldWhileQueuedIsKept() {
     host.servers(1);
-    host.server("a", 0, Readiness.DRAINING, 0);
+    host.server("a", 0, EndpointState.DRAINING, 0);
     host.request(SAFE, 1);
     host.pass(100 * MS);
     assertEquals(List.of(), host.sent);
-    host.server("a", 0, Readiness.READY, 0);
+    host.server("a", 0, EndpointState.READY, 0);
     assertEquals(1, host.sent.size());
   }
 
   @Test
   void goneAndBackUnderTheSameIdIsCold() {
     host.servers(1);
-    host.server("a", 0, Readiness.GONE, 0);
+    host.server("a", 0, EndpointState.REMOVED, 0);
     host.request(SAFE, 1);
     assertEquals(List.of(), host.sent);
-    host.server("a", 0, Readiness.READY, host.now);
+    host.server("a", 0, EndpointState.READY, host.now);
     for (int i = 0; i < 20; i++) {
       host.request(SAFE, 1);
     }
@@ -163,7 +163,7 @@
   @Test
   void absentFromAFullListIsGone() {
     host.servers(2);
-    host.gateway.list(host.now, ListKind.FULL, List.of());
+    host.gateway.endpointsUpdated(host.now, EndpointUpdateType.FULL, List.of());
     host.request(SAFE, 1);
     assertEquals(List.of(), host.sent);
   }
@@ -171,7 +171,7 @@
   @Test
   void coldServerGetsASmallPart() {
     host.servers(4);
-    host.server("z", 0, Readiness.READY, host.now);
+    host.server("z", 0, EndpointState.READY, host.now);
     Map<String, Integer> sends = new HashMap<>();
     for (int i = 0; i < 300; i++) {
       String id = host.request(SAFE, 1);
@@ -186,7 +186,7 @@
 
   @Test
   void ceilingHoldsForAllGatewaysTogetherWithoutTheCounterAndOverARestart() {
-    Plan plan = new Plan(5, 20, 0, 1, 0, 1, 8, 32, 4);
+    QuotaPlan plan = new QuotaPlan(5, 20, 0, 1, 0, 1, 8, 32, 4);
     double sent = 0;
     for (int me = 0; me < 3; me++) {
       Host one = new Host(plan, 3, me).servers(6);
--- a/src/test/java/merlinrouter/SlowStartTest.java
+++ b/src/test/java/merlinrouter/gateway/SlowStartTest.java
@@ -1,8 +1,8 @@
-package merlinrouter;
+package merlinrouter.gateway;
 
-import static merlinrouter.Host.FREE;
-import static merlinrouter.Host.MS;
-import static merlinrouter.Host.SAFE;
+import static merlinrouter.gateway.Host.FREE;
+import static merlinrouter.gateway.Host.MS;
+import static merlinrouter.gateway.Host.SAFE;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -11,9 +11,10 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinrouter.Ports.Outcome;
-import merlinrouter.Ports.Readiness;
-import merlinrouter.Ports.Result;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -58,7 +59,7 @@
     void servers(String prefix, int count, long startedAt) {
       for (Host host : hosts) {
         for (int i = 0; i < count; i++) {
-          host.server(prefix + i, 0, Readiness.READY, startedAt);
+          host.server(prefix + i, 0, EndpointState.READY, startedAt);
         }
       }
     }
@@ -94,7 +95,7 @@
           served++;
           host.gateway.attemptEnded(
               host.now,
-              new Result(sent.id(), Outcome.OK, WORK, sent.server(), true, 0, 0, List.of()));
+              new AttemptResult(sent.id(), Outcome.OK, WORK, sent.server(), true, 0, 0, List.of()));
         }
         for (; taken[i] < host.sent.size(); taken[i]++) {
           Host.Sent sent = host.sent.get(taken[i]);
@@ -170,7 +171,7 @@
     fleet.ask(70, 5_000 * MS);
     long start = fleet.now();
     for (Host host : fleet.hosts) {
-      host.gateway.list(host.now, Ports.ListKind.FULL, List.of());
+      host.gateway.endpointsUpdated(host.now, EndpointUpdateType.FULL, List.of());
     }
     fleet.servers("cold", 4, start);
     fleet.ask(120, 8_000 * MS);
--- a/src/test/java/merlinrouter/node/CrossingTest.java
+++ b/src/test/java/merlinrouter/node/CrossingTest.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
-import merlinrouter.Ports.Request;
+import merlinrouter.model.ClientRequest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -126,8 +126,8 @@
    */
   private static CompletableFuture<String> take(EdgeNode node, String id) {
     CompletableFuture<String> answer = new CompletableFuture<>();
-    Request request =
-        new Request(id, 1, 0, 7, node.deadline(node.now(), 20_000_000_000L), 1, 1, 0, false);
+    ClientRequest request =
+        new ClientRequest(id, 1, 0, 7, node.deadline(node.now(), 20_000_000_000L), 1, 1, 0, false);
     node.take(
         new OpenRequest(
             request,
