--- a/src/main/java/merlinrouter/node/Main.java
+++ b/src/main/java/merlinrouter/Main.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -8,6 +8,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.logging.Handler;
 import java.util.logging.Logger;
+import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.ConfigFile;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.logging.SingleLineFormatter;
+import merlinrouter.node.warmup.WarmUp;
 import merlinrouter.simulator.SimulatorAdapter;
 
 /**
@@ -42,7 +47,7 @@
     // Said outright, or Netty looks for the other libraries first, which takes a part of the start.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     for (Handler handler : Logger.getLogger("").getHandlers()) {
-      handler.setFormatter(new PlainLines());
+      handler.setFormatter(new SingleLineFormatter());
     }
     try {
       ConfigFile configuration = new ConfigFile(Path.of(file));
@@ -56,8 +61,7 @@
       Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(serving.get()), "stop"));
       String folder = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
       long begun = System.nanoTime();
-      int rehearsed =
-          Rehearsal.hold(configuration.read(), REHEARSED, REHEARSAL_MS, Path.of(folder));
+      int rehearsed = WarmUp.hold(configuration.read(), REHEARSED, REHEARSAL_MS, Path.of(folder));
       System.out.println(
           "rehearsed with "
               + rehearsed
@@ -77,7 +81,7 @@
       }
       node.start();
       System.out.println("serving on " + node.address());
-    } catch (Config.Invalid | Config.Unreadable e) {
+    } catch (NodeConfig.Invalid | NodeConfig.Unreadable e) {
       exit(1, e.getMessage());
     } catch (Exception e) {
       exit(1, "cannot start: " + e.getMessage());
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -23,6 +23,17 @@
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.counter.CounterClient;
+import merlinrouter.node.discovery.DiscoveryClient;
+import merlinrouter.node.discovery.EndpointStartTimes;
+import merlinrouter.node.downstream.ClientListener;
+import merlinrouter.node.downstream.MemoryBudget;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.request.InvariantGuard;
+import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.transport.PollTimestamps;
+import merlinrouter.node.upstream.UpstreamPool;
 import merlinrouter.settings.RequestClass;
 
 /**
@@ -30,7 +41,7 @@
  * back. All of it runs on one event loop thread, so nothing here is locked and the module's
  * contract of one caller holds.
  */
-final class EdgeNode implements GatewayActions, AutoCloseable {
+public final class EdgeNode implements GatewayActions, AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -59,7 +70,7 @@
   /** A turn of the loop that is late by more than this is counted: the rules allow for 0.15 s. */
   private static final long LOOP_HELD = 150 * MS;
 
-  private final Looks looks = new Looks();
+  private final PollTimestamps looks = new PollTimestamps();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
           1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> looks));
@@ -71,15 +82,15 @@
   private final NodeLog log;
   private final InvariantGuard guard;
   private final Map<String, OpenRequest> open = new HashMap<>();
-  private final ServerStartTimes startTimes;
-  private final ByteBudget budget;
-  private final ServerPool pool;
+  private final EndpointStartTimes startTimes;
+  private final MemoryBudget budget;
+  private final UpstreamPool pool;
   private final CounterClient counter;
   private final DiscoveryClient discovery;
-  private final ClientServer clients;
-  private final Config config;
+  private final ClientListener clients;
+  private final NodeConfig config;
   private Gateway gateway;
-  private Config early;
+  private NodeConfig early;
   private boolean inside;
 
   /** When the event began that the module is handling. */
@@ -87,24 +98,24 @@
 
   private long lastHousekeeping = System.nanoTime();
 
-  EdgeNode(Config config) {
+  public EdgeNode(NodeConfig config) {
     this(config, new NodeLog());
   }
 
-  EdgeNode(Config config, NodeLog log) {
+  public EdgeNode(NodeConfig config, NodeLog log) {
     this.config = config;
     this.log = log;
     guard = new InvariantGuard(log);
-    budget = new ByteBudget(config.memory());
-    startTimes = new ServerStartTimes(config.settings().rules().slowStartDurationNanos(), log);
-    pool = new ServerPool(this, loop, config);
+    budget = new MemoryBudget(config.memory());
+    startTimes = new EndpointStartTimes(config.settings().rules().slowStartDurationNanos(), log);
+    pool = new UpstreamPool(this, loop, config);
     counter = new CounterClient(this::counted, loop, config);
     discovery = new DiscoveryClient(this, loop, config);
-    clients = new ClientServer(this, loop, config, budget);
+    clients = new ClientListener(this, loop, config, budget);
   }
 
   /** Begins to serve; returns when the listening socket is bound. */
-  void start() throws Exception {
+  public void start() throws Exception {
     loop.submit(
             () -> {
               gateway = new Gateway(config.settings(), config.seed(), now(), this);
@@ -131,7 +142,7 @@
   }
 
   /** Where clients connect. */
-  SocketAddress address() {
+  public SocketAddress address() {
     return clients.address();
   }
 
@@ -140,15 +151,15 @@
     return clients.connections();
   }
 
-  EventLoop loop() {
+  public EventLoop loop() {
     return loop;
   }
 
-  InvariantGuard guard() {
+  public InvariantGuard guard() {
     return guard;
   }
 
-  NodeLog log() {
+  public NodeLog log() {
     return log;
   }
 
@@ -169,11 +180,11 @@
     return clients.listens();
   }
 
-  ServerPool pool() {
+  UpstreamPool pool() {
     return pool;
   }
 
-  DiscoveryClient discovery() {
+  public DiscoveryClient discovery() {
     return discovery;
   }
 
@@ -181,7 +192,7 @@
    * Goes over to the addresses of a new configuration. Clients, attempts, the module and its list
    * stay as they are, and all else in the file is for the next start.
    */
-  void reload(Config changed) {
+  public void reload(NodeConfig changed) {
     loop.execute(
         () -> {
           if (gateway == null) {
@@ -193,7 +204,7 @@
         });
   }
 
-  private void move(Config changed) {
+  private void move(NodeConfig changed) {
     discovery.move(changed.discovery());
     if (changed.counter() != null) {
       counter.move(changed.counter());
@@ -201,7 +212,7 @@
   }
 
   /** Answers all that was taken and completes when no client's connection is open any more. */
-  CompletableFuture<Void> drain() {
+  public CompletableFuture<Void> drain() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.execute(
         () -> {
@@ -226,12 +237,12 @@
   }
 
   /** A moment of the system's clock that never jumps, by the module's. */
-  long at(long nanoTime) {
+  public long at(long nanoTime) {
     return nanoTime + clockOffset;
   }
 
   /** Whatever a socket brings now came after this moment, however long the loop was held since. */
-  long lookedBefore() {
+  public long lookedBefore() {
     return looks.before();
   }
 
@@ -261,27 +272,27 @@
     }
   }
 
-  static void trouble(String what, Throwable e) {
+  public static void trouble(String what, Throwable e) {
     StackTraceElement[] at = e.getStackTrace();
     System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
   }
 
   /** The list of app servers, or changes to it. */
-  void list(Config.Roll roll, EndpointUpdateType kind) {
+  public void list(NodeConfig.Roll roll, EndpointUpdateType kind) {
     List<Endpoint> told = pool.update(withMonotonicStarts(roll), kind != EndpointUpdateType.DELTA);
     event(null, now -> gateway.endpointsUpdated(now, kind, told));
   }
 
-  private Config.Roll withMonotonicStarts(Config.Roll roll) {
+  private NodeConfig.Roll withMonotonicStarts(NodeConfig.Roll roll) {
     lookAtClocks();
     long now = now();
-    List<Config.Member> members = new ArrayList<>();
+    List<NodeConfig.Member> members = new ArrayList<>();
     Set<String> named = new HashSet<>();
-    for (Config.Member member : roll.members()) {
+    for (NodeConfig.Member member : roll.members()) {
       Endpoint server = member.server();
       named.add(server.id());
       long started = startTimes.momentOf(server.id(), server.startedAtNanos(), now);
-      members.add(new Config.Member(server.withStartedAtNanos(started), member.address()));
+      members.add(new NodeConfig.Member(server.withStartedAtNanos(started), member.address()));
       if (server.state() == EndpointState.REMOVED) {
         startTimes.forget(server.id());
       }
@@ -289,7 +300,7 @@
     if (roll.complete()) {
       startTimes.retain(named);
     }
-    return new Config.Roll(roll.revision(), roll.complete(), members);
+    return new NodeConfig.Roll(roll.revision(), roll.complete(), members);
   }
 
   private void lookAtClocks() {
@@ -299,18 +310,18 @@
   /**
    * Whether discovery has been heard, or has been silent for so long that the known list must do.
    */
-  boolean ready() {
+  public boolean ready() {
     return discovery.heard();
   }
 
   /** The deadline that the module is told, for a client that waits {@code span} from now. */
-  long deadline(long now, long span) {
+  public long deadline(long now, long span) {
     long margin = Math.max(WAY_OUT, Math.min((long) (HELD / config.cores()), span / MARGIN_PART));
     return now + Math.max(MS, span - margin);
   }
 
   /** Takes a request; false if its id is that of one still open. */
-  boolean take(OpenRequest taken) {
+  public boolean take(OpenRequest taken) {
     if (open.putIfAbsent(taken.request.id(), taken) != null) {
       return false;
     }
@@ -334,7 +345,7 @@
   }
 
   /** The client left before its answer. */
-  void clientGone(OpenRequest gone) {
+  public void clientGone(OpenRequest gone) {
     if (gone.answerOnce() != null) {
       log.count(NodeLog.Event.CLIENT_LEFT);
       settle(gone);
@@ -343,7 +354,7 @@
   }
 
   /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
-  void attemptEnded(
+  public void attemptEnded(
       OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
     of.attemptOut = false;
     guard.attemptEnded(of, outcome, now() - took);
--- a/src/main/java/merlinrouter/node/ConfigFile.java
+++ b/src/main/java/merlinrouter/node/config/ConfigFile.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.config;
 
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
@@ -8,7 +8,7 @@
  * descriptors, the disk may fail a read, and whoever replaces the file may not have written all of
  * it yet.
  */
-final class ConfigFile {
+public final class ConfigFile {
   private static final long PAUSE_MS = 50;
 
   /** Short against the 4 s after which a hang-up counts as obeyed. */
@@ -16,17 +16,17 @@
 
   private final Path path;
 
-  ConfigFile(Path path) {
+  public ConfigFile(Path path) {
     this.path = path;
   }
 
   /** Reads the file for a start. What is bad in it is told at once. */
-  Config read() throws Config.Invalid, Config.Unreadable, InterruptedException {
+  public NodeConfig read() throws NodeConfig.Invalid, NodeConfig.Unreadable, InterruptedException {
     long begun = System.nanoTime();
     while (true) {
       try {
-        return Config.read(path);
-      } catch (Config.Unreadable e) {
+        return NodeConfig.read(path);
+      } catch (NodeConfig.Unreadable e) {
         pauseOrThrow(e, begun);
       }
     }
@@ -36,12 +36,13 @@
    * Reads the file while the node serves: it may be replaced at the same moment, so what is bad in
    * it may change.
    */
-  Config readAgain() throws Config.Invalid, Config.Unreadable, InterruptedException {
+  public NodeConfig readAgain()
+      throws NodeConfig.Invalid, NodeConfig.Unreadable, InterruptedException {
     long begun = System.nanoTime();
     while (true) {
       try {
         return read();
-      } catch (Config.Invalid e) {
+      } catch (NodeConfig.Invalid e) {
         pauseOrThrow(e, begun);
       }
     }
--- a/src/main/java/merlinrouter/node/Config.java
+++ b/src/main/java/merlinrouter/node/config/NodeConfig.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -29,7 +29,7 @@
  * @param keepAlive span after which an app server closes an idle connection
  * @param names the names that stand for the settings' indices
  */
-record Config(
+public record NodeConfig(
     SocketAddress listen,
     SocketAddress discovery,
     SocketAddress counter,
@@ -52,33 +52,34 @@
   private static final double LEAST_CORES = 0.05;
 
   /** A configuration that cannot be used; the message is one plain line that names the key. */
-  static final class Invalid extends Exception {
+  public static final class Invalid extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Invalid(String message) {
+    public Invalid(String message) {
       super(message);
     }
   }
 
   /** A configuration that could not be read; the next try may succeed. */
-  static final class Unreadable extends Exception {
+  public static final class Unreadable extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unreadable(String message) {
+    public Unreadable(String message) {
       super(message);
     }
   }
 
   /** Names of classes, plans, zones and machine kinds, each at its index. */
-  record Names(List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
+  public record Names(
+      List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
 
   /** An app server and where this edge node reaches it. */
-  record Member(Endpoint server, SocketAddress address) {}
+  public record Member(Endpoint server, SocketAddress address) {}
 
   /** A message of discovery: the whole list if {@code complete}, else changed entries. */
-  record Roll(long revision, boolean complete, List<Member> members) {}
+  public record Roll(long revision, boolean complete, List<Member> members) {}
 
-  static Config read(Path file) throws Invalid, Unreadable {
+  static NodeConfig read(Path file) throws Invalid, Unreadable {
     String text;
     try {
       text = Files.readString(file);
@@ -88,7 +89,7 @@
     return parse(text);
   }
 
-  static Config parse(String text) throws Invalid {
+  public static NodeConfig parse(String text) throws Invalid {
     JsonNode root;
     try {
       root = JSON.readTree(text);
@@ -150,7 +151,7 @@
       throw new Invalid("settings." + e.getMessage());
     }
     boolean counted = read.counter().present();
-    return new Config(
+    return new NodeConfig(
         address(root, "listen"),
         address(root, "discovery"),
         counted ? address(root, "counter") : null,
@@ -166,7 +167,7 @@
   }
 
   /** Reads one message of discovery. */
-  static Roll roll(String line, Names names) throws Invalid {
+  public static Roll roll(String line, Names names) throws Invalid {
     try {
       return roll(JSON.readTree(line), names);
     } catch (JsonProcessingException e) {
@@ -188,7 +189,7 @@
             case "Gone" -> EndpointState.REMOVED;
             default -> EndpointState.DRAINING;
           };
-      // The wall clock's time here; ServerStartTimes turns it into the module's.
+      // The wall clock's time here; EndpointStartTimes turns it into the module's.
       long started = Math.max(0, entry.path("up_since_ms").asLong(0)) * 1_000_000L;
       members.add(
           new Member(
--- a/src/main/java/merlinrouter/node/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.counter;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -20,13 +20,18 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.http.ResponseDecoder;
+import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.http.StrictDecimal;
+import merlinrouter.node.transport.Transport;
 
 /**
  * Calls to the shared counter, written one behind another on a few connections. A name always has
  * the same place among these, so that the calls of a name are counted, and told to the module, in
  * their order.
  */
-final class CounterClient {
+public final class CounterClient {
   private static final int PLACES = 4, MOST_PENDING = 256, MOST_ANSWER = 1024;
   private static final long MS = 1_000_000L;
 
@@ -36,7 +41,7 @@
   private static final int SILENT_TIMEOUTS = 10;
 
   /** Hears how calls end. */
-  interface Listener {
+  public interface Listener {
     void counted(long name, Outcome outcome, double total);
   }
 
@@ -47,7 +52,7 @@
   private final Place[] places = new Place[PLACES];
   private SocketAddress address;
 
-  CounterClient(Listener listener, EventLoop loop, Config config) {
+  public CounterClient(Listener listener, EventLoop loop, NodeConfig config) {
     this.listener = listener;
     this.loop = loop;
     address = config.counter();
@@ -63,7 +68,7 @@
   }
 
   /** Adds to a named number; the outcome is told later, never from within this call. */
-  void count(long name, double amount, long lifetime) {
+  public void count(long name, double amount, long lifetime) {
     places[(int) Long.remainderUnsigned(name, PLACES)].add(name, amount, lifetime);
   }
 
@@ -71,7 +76,7 @@
    * From now on calls go elsewhere; what was written to the old address may still be answered
    * there.
    */
-  void move(SocketAddress to) {
+  public void move(SocketAddress to) {
     if (!to.equals(address)) {
       address = to;
       for (Place place : places) {
@@ -181,10 +186,10 @@
   }
 
   /** A connection with its calls in the order in which they are answered. */
-  private final class Line extends AnswerHandler {
+  private final class Line extends ResponseHandler {
     private final Place place;
     private final ArrayDeque<Call> pending = new ArrayDeque<>();
-    private final AnswerDecoder decoder = new AnswerDecoder();
+    private final ResponseDecoder decoder = new ResponseDecoder();
     private final Channel channel;
     private boolean connected, dead;
 
@@ -277,17 +282,17 @@
     }
 
     @Override
-    boolean expectsAnswer() {
+    protected boolean expectsAnswer() {
       return !pending.isEmpty() && pending.peek().written;
     }
 
     @Override
-    void answered(HttpResponse answer, ByteBuf body) {
+    protected void answered(HttpResponse answer, ByteBuf body) {
       Call call = pending.poll();
       boolean good = HttpUtil.isKeepAlive(answer);
       switch (answer.status().code()) {
         case 200 -> {
-          double total = Figures.number(body.toString(StandardCharsets.US_ASCII).strip());
+          double total = StrictDecimal.number(body.toString(StandardCharsets.US_ASCII).strip());
           // It was added. A total that cannot be read leaves it unknown, and the line is no good.
           boolean known = !Double.isNaN(total);
           good &= known;
@@ -307,7 +312,7 @@
     }
 
     @Override
-    void spoilt() {
+    protected void spoilt() {
       die();
     }
   }
--- a/src/main/java/merlinrouter/node/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -29,13 +29,17 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.transport.Transport;
 
 /**
  * Watches the list of app servers, from the last revision heard on. What discovery's agent holds
  * counts as told whether or not a watch is open, so one that ends, falls silent or stays mute is
  * replaced well within the span that a drain allows.
  */
-final class DiscoveryClient {
+public final class DiscoveryClient {
   /**
    * A line comes every 2 s at least, and what a silent watch misses counts as told 6 s after it
    * fell silent.
@@ -73,7 +77,7 @@
 
   private final EdgeNode node;
   private final EventLoop loop;
-  private final Config.Names names;
+  private final NodeConfig.Names names;
   private final Bootstrap bootstrap;
   private final long mostBackoff, mutePatience;
 
@@ -90,7 +94,7 @@
   private boolean heard;
   private int opened;
 
-  DiscoveryClient(EdgeNode node, EventLoop loop, Config config) {
+  public DiscoveryClient(EdgeNode node, EventLoop loop, NodeConfig config) {
     this.node = node;
     this.loop = loop;
     names = config.names();
@@ -118,7 +122,7 @@
                 });
   }
 
-  void start(long known) {
+  public void start(long known) {
     revision = known;
     // A discovery that is down must not keep the edge node from serving by the list it has.
     loop.schedule(() -> heard = true, PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -126,16 +130,16 @@
   }
 
   /** Whether a first message has come, or has been waited for long enough. */
-  boolean heard() {
+  public boolean heard() {
     return heard;
   }
 
   /** How many watches were opened so far, and how many of these are out. */
-  int opened() {
+  public int opened() {
     return opened;
   }
 
-  int out() {
+  public int out() {
     return mute.size() + (speaking == null ? 0 : 1);
   }
 
@@ -143,7 +147,7 @@
    * From now on watches elsewhere. The list is kept: what changed since then is the new watch's to
    * tell.
    */
-  void move(SocketAddress to) {
+  public void move(SocketAddress to) {
     if (to.equals(address)) {
       return;
     }
@@ -258,7 +262,7 @@
       } else if (!lists.isBetween() && unfinished == null) {
         unfinished =
             loop.schedule(
-                () -> spoilt(context, new Config.Invalid("discovery's list was cut")),
+                () -> spoilt(context, new NodeConfig.Invalid("discovery's list was cut")),
                 UNFINISHED_MS,
                 TimeUnit.MILLISECONDS);
       }
@@ -287,8 +291,8 @@
     if (!(cause instanceof ReadTimeoutException) && context.channel().isOpen()) {
       // What could not be read may be a megabyte of noise.
       boolean noise =
-          cause instanceof DecoderException && !(cause.getCause() instanceof Config.Invalid);
-      EdgeNode.trouble("discovery", noise ? new Config.Invalid("what came is no list") : cause);
+          cause instanceof DecoderException && !(cause.getCause() instanceof NodeConfig.Invalid);
+      EdgeNode.trouble("discovery", noise ? new NodeConfig.Invalid("what came is no list") : cause);
     }
     context.close();
   }
@@ -307,11 +311,12 @@
   /** Reads each list as it gets whole. */
   private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
-    protected void channelRead0(ChannelHandlerContext context, ByteBuf text) throws Config.Invalid {
+    protected void channelRead0(ChannelHandlerContext context, ByteBuf text)
+        throws NodeConfig.Invalid {
       if (context.channel() != speaking || !context.channel().isOpen()) {
         return;
       }
-      Config.Roll roll = Config.roll(text.toString(StandardCharsets.UTF_8), names);
+      NodeConfig.Roll roll = NodeConfig.roll(text.toString(StandardCharsets.UTF_8), names);
       node.list(roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
       revision = roll.revision();
       heard = true;
--- a/src/main/java/merlinrouter/node/ServerStartTimes.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
@@ -1,9 +1,10 @@
-package merlinrouter.node;
+package merlinrouter.node.discovery;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import merlinrouter.node.logging.NodeLog;
 
 /**
  * Turns the wall-clock times at which servers started into moments of the node's monotonic clock.
@@ -12,7 +13,7 @@
  * side of the step a start was read: the younger age counts, since a server taken for too young
  * only gets less for a while. Used on the event loop only.
  */
-final class ServerStartTimes {
+public final class EndpointStartTimes {
   private static final long MS = 1_000_000L;
 
   /**
@@ -39,13 +40,15 @@
   private final Map<String, Start> starts = new HashMap<>();
 
   /** {@code memory} is for how long a step may matter: the span of a slow start, in nanoseconds. */
-  ServerStartTimes(long memory, NodeLog log) {
+  public EndpointStartTimes(long memory, NodeLog log) {
     this.memory = memory;
     this.log = log;
   }
 
-  /** Looks at both clocks, in nanoseconds; called often enough that a step is seen soon. */
-  void look(long monotonic, long wall) {
+  /**
+   * PollTimestamps at both clocks, in nanoseconds; called often enough that a step is seen soon.
+   */
+  public void look(long monotonic, long wall) {
     long value = wall - monotonic;
     Offset latest = offsets.peekLast();
     if (latest == null || Math.abs(value - latest.value) >= LEAST_STEP) {
@@ -69,7 +72,7 @@
    *     long ago
    * @param now the monotonic clock, in nanoseconds; {@link #look} was called for it
    */
-  long momentOf(String id, long wall, long now) {
+  public long momentOf(String id, long wall, long now) {
     if (wall <= 0) {
       starts.remove(id);
       return 0;
@@ -88,12 +91,12 @@
   }
 
   /** Forgets servers that the list does not name any more. */
-  void retain(Set<String> ids) {
+  public void retain(Set<String> ids) {
     starts.keySet().retainAll(ids);
   }
 
   /** Forgets a server that is gone. */
-  void forget(String id) {
+  public void forget(String id) {
     starts.remove(id);
   }
 }
--- a/src/main/java/merlinrouter/node/AcceptThrottle.java
+++ b/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.downstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -7,6 +7,7 @@
 import io.netty.channel.MaxMessagesRecvByteBufAllocator;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
+import merlinrouter.node.logging.NodeLog;
 
 /**
  * Pauses and resumes accepting, and knows since when a connection that is accepted now may have
@@ -16,7 +17,7 @@
  * all who have connected run out of time. The pause here only keeps a lasting failure, such as a
  * full table of descriptors, from taking all of the event loop. Used on the event loop only.
  */
-final class AcceptThrottle extends ChannelInboundHandlerAdapter {
+public final class AcceptThrottle extends ChannelInboundHandlerAdapter {
   /** Small against the least time that a client waits. */
   private static final long PAUSE_MS = 10;
 
--- a/src/main/java/merlinrouter/node/ClientServer.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -44,16 +44,24 @@
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.ClientRequest;
 import merlinrouter.model.Idempotency;
+import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.http.BodyAccumulator;
+import merlinrouter.node.http.StrictDecimal;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.transport.Transport;
+import merlinrouter.node.upstream.UpstreamPool;
 import merlinrouter.settings.RequestClass;
 
 /** The listening side: reads clients' requests, turns away what is none, and writes the answers. */
-final class ClientServer {
+public final class ClientListener {
   private static final long MAX_CUSTOMER = 1L << 33;
   private static final int CUSTOMER_DIGITS = 16, MOST_DIGITS = 15;
   private static final int BACKLOG = 512, MOST_NAME = 128;
 
   /** How much of one read, and how much that came ahead of its turn, a connection holds. */
-  private static final int READ = 8 * 1024, MOST_AHEAD = 4 * ServerPool.MOST_BODY;
+  private static final int READ = 8 * 1024, MOST_AHEAD = 4 * UpstreamPool.MOST_BODY;
 
   /**
    * For how long a client that has sent more than that ahead is taken to be still there: no attempt
@@ -79,8 +87,8 @@
 
   private final EdgeNode node;
   private final EventLoop loop;
-  private final Config config;
-  private final ByteBudget budget;
+  private final NodeConfig config;
+  private final MemoryBudget budget;
   private final Set<Session> sessions = new LinkedHashSet<>();
   private final int most, mostKept;
   private AcceptThrottle acceptThrottle;
@@ -89,7 +97,7 @@
   private boolean draining;
   private CompletableFuture<Void> drained;
 
-  ClientServer(EdgeNode node, EventLoop loop, Config config, ByteBudget budget) {
+  public ClientListener(EdgeNode node, EventLoop loop, NodeConfig config, MemoryBudget budget) {
     this.node = node;
     this.budget = budget;
     this.loop = loop;
@@ -102,7 +110,7 @@
   }
 
   /** Completes when clients can connect; never where the node was told to end before that. */
-  CompletableFuture<Void> bind() {
+  public CompletableFuture<Void> bind() {
     CompletableFuture<Void> bound = new CompletableFuture<>();
     loop.execute(
         () -> {
@@ -154,12 +162,12 @@
     }
   }
 
-  SocketAddress address() {
+  public SocketAddress address() {
     return listening.localAddress();
   }
 
   /** From now on each connection ends with its next answer. Returns whether there may be any. */
-  boolean closeAfterAnswers() {
+  public boolean closeAfterAnswers() {
     draining = true;
     if (listening != null) {
       // All who wait are let in at the last look: it takes a part of them only, for the sake of the
@@ -171,7 +179,7 @@
   }
 
   /** Nobody comes any more: the listening socket and the connections between requests go. */
-  void stopAccepting(CompletableFuture<Void> done) {
+  public void stopAccepting(CompletableFuture<Void> done) {
     if (listening != null && acceptThrottle.isFailing()) {
       // Who has connected and could not be accepted yet would be reset with the listening socket.
       loop.schedule(
@@ -235,17 +243,17 @@
   }
 
   /** How many connections are open. */
-  int connections() throws Exception {
+  public int connections() throws Exception {
     return loop.submit(sessions::size).get();
   }
 
   /** How many of them are not read from, since too much was sent ahead on them. */
-  int unread() {
+  public int unread() {
     return (int)
         sessions.stream().filter(session -> !session.channel.config().isAutoRead()).count();
   }
 
-  boolean listens() {
+  public boolean listens() {
     return listening != null;
   }
 
@@ -384,7 +392,7 @@
   }
 
   private double units(String text) throws Refusal {
-    double units = Figures.amount(text, config.settings().counter().maxRequestUnits());
+    double units = StrictDecimal.amount(text, config.settings().counter().maxRequestUnits());
     if (Double.isNaN(units)) {
       throw bad("X-Quota units is not a number above 0 that one request may count");
     }
@@ -413,7 +421,7 @@
   /** A client's connection: one request at a time; what comes behind it waits undecoded. */
   private final class Session extends SimpleChannelInboundHandler<HttpObject> {
     private final RequestDecoder decoder = new RequestDecoder(this::arrived, this::earliest);
-    private final Body body = new Body(ServerPool.MOST_BODY);
+    private final BodyAccumulator body = new BodyAccumulator(UpstreamPool.MOST_BODY);
     private final Channel channel;
     private HttpRequest head;
     private OpenRequest current;
@@ -562,7 +570,7 @@
     /** Turns a body away that is too large by what the head says, before any of it is read. */
     private void weigh(HttpRequest coming) {
       long length = HttpUtil.getContentLength(coming, 0L);
-      if (length > ServerPool.MOST_BODY) {
+      if (length > UpstreamPool.MOST_BODY) {
         refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
       } else if (!budget.allows(length)) {
         refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
--- a/src/main/java/merlinrouter/node/ByteBudget.java
+++ b/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
@@ -1,10 +1,10 @@
-package merlinrouter.node;
+package merlinrouter.node.downstream;
 
 /**
  * The bytes that clients' requests may hold over all connections together: each connection's own
  * bound does not keep a thousand of them from outgrowing the memory.
  */
-final class ByteBudget {
+public final class MemoryBudget {
   /** Usual requests are small. They have the last quarter to themselves. */
   private static final int SMALL = 4 * 1024;
 
@@ -14,20 +14,20 @@
   private long used;
 
   /** A sixteenth of the memory, within bounds. */
-  ByteBudget(long memory) {
+  public MemoryBudget(long memory) {
     most = Math.max(LEAST, Math.min(MOST, memory / 16));
   }
 
   /** Whether a request that holds, or will hold, so much may go on growing. */
-  boolean allows(long size) {
+  public boolean allows(long size) {
     return used < (size > SMALL ? most / 4 * 3 : most);
   }
 
-  void change(long by) {
+  public void change(long by) {
     used += by;
   }
 
-  long used() {
+  public long used() {
     return used;
   }
 }
--- a/src/main/java/merlinrouter/node/RequestDecoder.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -14,7 +14,7 @@
  * were all decoded as they came would wait as objects many times their size, and what stands behind
  * a refused one is not to be read at all.
  */
-final class RequestDecoder extends HttpRequestDecoder {
+public final class RequestDecoder extends HttpRequestDecoder {
   /**
    * Reads so close together count as one, and so many wait at most; each stands for its earliest
    * moment.
--- a/src/main/java/merlinrouter/node/Body.java
+++ b/src/main/java/merlinrouter/node/http/BodyAccumulator.java
@@ -1,25 +1,25 @@
-package merlinrouter.node;
+package merlinrouter.node.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
 /** Puts a message's body together, up to a bound. The copy lets go of what it was read into. */
-final class Body {
+public final class BodyAccumulator {
   private static final int FIRST = 256;
 
   private final int most;
   private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
-  Body(int most) {
+  public BodyAccumulator(int most) {
     this.most = most;
   }
 
-  int size() {
+  public int size() {
     return bytes.readableBytes();
   }
 
   /** Adds a part; false, with nothing added, if that is too much. */
-  boolean add(ByteBuf part) {
+  public boolean add(ByteBuf part) {
     int length = part.readableBytes();
     if (size() + length > most) {
       return false;
@@ -34,7 +34,7 @@
   }
 
   /** Hands the whole body over and begins anew. */
-  ByteBuf take() {
+  public ByteBuf take() {
     ByteBuf whole = bytes;
     bytes = Unpooled.EMPTY_BUFFER;
     return whole;
--- a/src/main/java/merlinrouter/node/AnswerDecoder.java
+++ b/src/main/java/merlinrouter/node/http/ResponseDecoder.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -15,12 +15,12 @@
  * and hides what it holds of a further answer: each of these would let bytes that belong to no
  * request pass for the next one's answer.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+public final class ResponseDecoder extends HttpResponseDecoder {
   private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
   private boolean between = true;
 
   /** Whether all that came was whole answers. */
-  boolean isBetween() {
+  public boolean isBetween() {
     return between && actualReadableBytes() == 0;
   }
 
--- a/src/main/java/merlinrouter/node/AnswerHandler.java
+++ b/src/main/java/merlinrouter/node/http/ResponseHandler.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,18 +11,20 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
+import merlinrouter.node.EdgeNode;
+import merlinrouter.node.transport.TcpChannel;
 
 /**
  * Puts a peer's answers together and tells a spoilt one as early as that can be: a length that is
  * too large, two of them, or none, is told by the head. After a spoilt answer nothing else that
  * comes is looked at.
  */
-abstract class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
+public abstract class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
   /** So many 1xx answers ahead of one are nobody's courtesy any more. */
   private static final int MOST_INFORMATIONAL = 32;
 
   private final int most;
-  private final Body body;
+  private final BodyAccumulator body;
   private HttpResponse head;
   private int informational;
   private boolean spoilt;
@@ -32,24 +34,24 @@
    */
   private boolean endsWithConnection;
 
-  AnswerHandler(int most) {
+  public ResponseHandler(int most) {
     this.most = most;
-    body = new Body(most);
+    body = new BodyAccumulator(most);
   }
 
   /** A whole answer came; the body stays the caller's. */
-  abstract void answered(HttpResponse answer, ByteBuf body);
+  protected abstract void answered(HttpResponse answer, ByteBuf body);
 
   /** What came is no whole answer and never will be; the connection is of no further use. */
-  abstract void spoilt();
+  protected abstract void spoilt();
 
   /** Whether an answer may come now: one that nobody waits for belongs to nothing. */
-  abstract boolean expectsAnswer();
+  protected abstract boolean expectsAnswer();
 
   /**
    * Whether an answer without a length is taken, once the peer has ended the connection in order.
    */
-  boolean takesAnswersWithoutLength() {
+  protected boolean takesAnswersWithoutLength() {
     return false;
   }
 
--- a/src/main/java/merlinrouter/node/Figures.java
+++ b/src/main/java/merlinrouter/node/http/StrictDecimal.java
@@ -1,17 +1,17 @@
-package merlinrouter.node;
+package merlinrouter.node.http;
 
 /**
  * Reads figures that a peer wrote. Java's own parser takes more than a peer may mean ({@code 1d},
  * {@code 0x1p3}, {@code NaN}), and a figure out of bounds must not find its way into what is
  * counted.
  */
-final class Figures {
+public final class StrictDecimal {
   private static final int MOST_LENGTH = 32;
 
-  private Figures() {}
+  private StrictDecimal() {}
 
   /** A decimal number; NaN if the text is none. */
-  static double number(String text) {
+  public static double number(String text) {
     return parse(text, "0123456789.+-eE");
   }
 
@@ -19,7 +19,7 @@
    * A number above 0, without sign or exponent, and no larger than {@code most}; NaN if the text is
    * none.
    */
-  static double amount(String text, double most) {
+  public static double amount(String text, double most) {
     double value = parse(text, "0123456789.");
     return value > 0 && value <= most ? value : Double.NaN;
   }
--- a/src/main/java/merlinrouter/node/NodeLog.java
+++ b/src/main/java/merlinrouter/node/logging/NodeLog.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.logging;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -7,9 +7,9 @@
  * What a node tells its operators: counts of what happened, one line at a time while they grow, and
  * a line for each event that needs its request's id. Used on the event loop only.
  */
-final class NodeLog {
+public final class NodeLog {
   /** What is counted. */
-  enum Event {
+  public enum Event {
     /** An accept failed in this process. */
     ACCEPT_FAILED,
     /** A socket could not be made or bound in this process; nothing was sent to any peer. */
@@ -51,7 +51,7 @@
   private boolean changed;
   private long intervalBegan = System.nanoTime();
 
-  NodeLog() {
+  public NodeLog() {
     this(false);
   }
 
@@ -60,19 +60,19 @@
   }
 
   /** A log that only counts, for a node that no client sees. */
-  static NodeLog silent() {
+  public static NodeLog silent() {
     return new NodeLog(true);
   }
 
   /** Writes a line. */
-  void line(String text) {
+  public void line(String text) {
     if (!silent) {
       System.out.println(text);
     }
   }
 
   /** Counts an event. */
-  void count(Event event) {
+  public void count(Event event) {
     counts.merge(event, 1L, Long::sum);
     changed = true;
   }
@@ -85,13 +85,13 @@
   /**
    * Counts an event of a request and, while lines are left in this interval, says why it happened.
    */
-  void request(Event event, String id, String why) {
+  public void request(Event event, String id, String why) {
     count(event);
     boundedLine("request " + id + " " + event + ": " + why);
   }
 
   /** Counts a broken invariant; the action that would break it was not carried out. */
-  void violation(String id, String invariant) {
+  public void violation(String id, String invariant) {
     violations++;
     changed = true;
     line("invariant violated: request " + id + ": " + invariant);
@@ -109,7 +109,7 @@
   }
 
   /** Called often: writes the counts when an interval is over and something has changed in it. */
-  void tick() {
+  public void tick() {
     long now = System.nanoTime();
     if (now - intervalBegan < INTERVAL) {
       return;
--- a/src/main/java/merlinrouter/node/PlainLines.java
+++ b/src/main/java/merlinrouter/node/logging/SingleLineFormatter.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.logging;
 
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
@@ -8,7 +8,7 @@
  * zones' file for its first line: where that line is that no descriptor is left, it failed with an
  * error that ended the event loop.
  */
-final class PlainLines extends Formatter {
+public final class SingleLineFormatter extends Formatter {
   @Override
   public String format(LogRecord record) {
     String thrown = record.getThrown() == null ? "" : ": " + record.getThrown();
--- a/src/main/java/merlinrouter/node/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/request/InvariantGuard.java
@@ -1,7 +1,8 @@
-package merlinrouter.node;
+package merlinrouter.node.request;
 
 import merlinrouter.model.Idempotency;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.logging.NodeLog;
 import merlinrouter.settings.RequestClass;
 
 /**
@@ -10,10 +11,10 @@
  * request's id: a violation is a fault of this program, since whoever decides should not have asked
  * for it. Used on the event loop only.
  */
-final class InvariantGuard {
+public final class InvariantGuard {
   private final NodeLog log;
 
-  InvariantGuard(NodeLog log) {
+  public InvariantGuard(NodeLog log) {
     this.log = log;
   }
 
@@ -24,7 +25,7 @@
    * @param spec its class
    * @param now the node's clock, in nanoseconds
    */
-  boolean maySend(OpenRequest request, RequestClass spec, long now) {
+  public boolean maySend(OpenRequest request, RequestClass spec, long now) {
     String broken = null;
     if (request.attemptOut) {
       broken = "an attempt would begin while another is out";
@@ -44,7 +45,7 @@
   /**
    * Notes the end of an attempt that began at {@code begunAt} of the node's clock, in nanoseconds.
    */
-  void attemptEnded(OpenRequest request, Outcome outcome, long begunAt) {
+  public void attemptEnded(OpenRequest request, Outcome outcome, long begunAt) {
     if (!outcome.provesNotExecuted() && !request.mayHaveRun) {
       request.mayHaveRun = true;
       request.firstMayHaveRunAt = begunAt;
@@ -52,7 +53,7 @@
   }
 
   /** Whether a client's connection may be closed unasked: not over a request that was read. */
-  boolean mayClose(OpenRequest open, String why) {
+  public boolean mayClose(OpenRequest open, String why) {
     if (open == null) {
       return true;
     }
--- a/src/main/java/merlinrouter/node/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/request/OpenRequest.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.request;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpMethod;
@@ -6,9 +6,9 @@
 import merlinrouter.model.ClientRequest;
 
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
-final class OpenRequest {
+public final class OpenRequest {
   /** Where the one final answer goes; told on the loop only. */
-  interface Answers {
+  public interface Answers {
     /** Passes on an app server's answer; the buffer stays the caller's. */
     void served(ByteBuf body);
 
@@ -21,20 +21,20 @@
     void failed();
 
     /**
-     * Looks whether the client has left, or has sent so much ahead that its leaving may have gone
-     * unseen.
+     * PollTimestamps whether the client has left, or has sent so much ahead that its leaving may
+     * have gone unseen.
      */
     boolean hasLeft();
   }
 
-  final ClientRequest request;
-  final HttpMethod method;
-  final String uri;
-  final String key;
-  final ByteBuf body;
+  public final ClientRequest request;
+  public final HttpMethod method;
+  public final String uri;
+  public final String key;
+  public final ByteBuf body;
   private final Answers answers;
-  int attempts;
-  boolean attemptOut;
+  public int attempts;
+  public boolean attemptOut;
 
   /**
    * Whether an attempt has ended in a way that does not prove that it never ran, and when the first
@@ -43,11 +43,11 @@
   boolean mayHaveRun;
 
   long firstMayHaveRunAt;
-  boolean answered;
-  Future<?> overdue;
+  public boolean answered;
+  public Future<?> overdue;
 
   /** Takes over the body. */
-  OpenRequest(
+  public OpenRequest(
       ClientRequest request,
       HttpMethod method,
       String uri,
@@ -65,12 +65,12 @@
   /**
    * Whether an attempt may begin now: nobody waits for one whose client has left, seen or unseen.
    */
-  boolean awaited() {
+  public boolean awaited() {
     return !answered && !answers.hasLeft();
   }
 
   /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
-  Answers answerOnce() {
+  public Answers answerOnce() {
     if (answered) {
       return null;
     }
--- a/src/main/java/merlinrouter/node/Looks.java
+++ b/src/main/java/merlinrouter/node/transport/PollTimestamps.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.transport;
 
 import io.netty.channel.SelectStrategy;
 import io.netty.util.IntSupplier;
@@ -7,7 +7,7 @@
  * When the loop last looked at its sockets: the codec's strategy of looking, which also takes the
  * time.
  */
-final class Looks implements SelectStrategy {
+public final class PollTimestamps implements SelectStrategy {
   private long before = System.nanoTime(), last = before;
 
   @Override
@@ -18,7 +18,7 @@
   }
 
   /** What the present look brought was not there yet when the one before it began. */
-  long before() {
+  public long before() {
     return before;
   }
 }
--- a/src/main/java/merlinrouter/node/TcpChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpChannel.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -29,7 +29,7 @@
   /**
    * Whether the peer ended its side in order; false behind a reset, an error or a close of ours.
    */
-  boolean isInputEnded() {
+  public boolean isInputEnded() {
     return inputEnded;
   }
 
--- a/src/main/java/merlinrouter/node/TcpServerChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpServerChannel.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.transport;
 
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.nio.channels.SocketChannel;
--- a/src/main/java/merlinrouter/node/Transport.java
+++ b/src/main/java/merlinrouter/node/transport/Transport.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -19,11 +19,11 @@
  * The kind of socket that goes with an address: TCP, or a file's for a rehearsal that nobody else
  * can reach.
  */
-final class Transport {
+public final class Transport {
   private Transport() {}
 
   /** For connections to addresses of the kind of {@code like}. */
-  static Bootstrap connecting(EventLoop loop, SocketAddress like) {
+  public static Bootstrap connecting(EventLoop loop, SocketAddress like) {
     Bootstrap bootstrap = new Bootstrap().group(loop);
     return like instanceof UnixDomainSocketAddress
         ? bootstrap.channel(NioDomainSocketChannel.class)
@@ -31,7 +31,7 @@
   }
 
   /** For listening at an address of the kind of {@code like}. */
-  static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
+  public static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
     ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
     return like instanceof UnixDomainSocketAddress
         ? bootstrap.channel(NioServerDomainSocketChannel.class)
@@ -46,12 +46,12 @@
    * hands out a stand-in that cannot even be closed, and tells its listeners on a thread of its
    * own.
    */
-  static boolean hasChannel(ChannelFuture connecting) {
+  public static boolean hasChannel(ChannelFuture connecting) {
     return connecting.channel() instanceof AbstractNioChannel;
   }
 
   /** Whether a connect failed in this process, before anything went to the peer. */
-  static boolean isLocalFailure(Throwable cause) {
+  public static boolean isLocalFailure(Throwable cause) {
     return cause instanceof ChannelException
         || cause instanceof SocketException
             && !(cause instanceof ConnectException)
--- a/src/main/java/merlinrouter/node/ServerPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -29,13 +29,21 @@
 import merlinrouter.model.Endpoint;
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.http.ResponseDecoder;
+import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.http.StrictDecimal;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.transport.Transport;
 
 /**
  * Connections to app servers, one request on each at a time, and the attempts on them with their
  * outcomes.
  */
-final class ServerPool {
-  static final int MOST_BODY = 64 * 1024;
+public final class UpstreamPool {
+  public static final int MOST_BODY = 64 * 1024;
   private static final long MS = 1_000_000L, SWEEP = 1_000 * MS;
 
   /**
@@ -71,7 +79,7 @@
   private final double mostUnits;
   private int connections;
 
-  ServerPool(EdgeNode node, EventLoop loop, Config config) {
+  public UpstreamPool(EdgeNode node, EventLoop loop, NodeConfig config) {
     this.node = node;
     this.loop = loop;
     log = node.log();
@@ -88,7 +96,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    AnswerDecoder decoder = new AnswerDecoder();
+                    ResponseDecoder decoder = new ResponseDecoder();
                     channel
                         .pipeline()
                         .addLast(decoder, new HttpRequestEncoder(), new Connection(decoder));
@@ -105,7 +113,7 @@
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private boolean retired;
 
-    EndpointPool(Config.Member member) {
+    EndpointPool(NodeConfig.Member member) {
       server = member.server();
       address = member.address();
       startedAt = server.startedAtNanos();
@@ -145,10 +153,10 @@
    * yet. Under the old id the new one would be reached unknown, with neither its cold start nor its
    * drain.
    */
-  List<Endpoint> update(Config.Roll roll, boolean whole) {
+  public List<Endpoint> update(NodeConfig.Roll roll, boolean whole) {
     List<Endpoint> told = new ArrayList<>();
     Set<String> named = new HashSet<>();
-    for (Config.Member member : roll.members()) {
+    for (NodeConfig.Member member : roll.members()) {
       Endpoint server = member.server();
       named.add(server.id());
       boolean ready = server.state() == EndpointState.READY;
@@ -183,7 +191,7 @@
     return told;
   }
 
-  private EndpointPool holder(Config.Member of) {
+  private EndpointPool holder(NodeConfig.Member of) {
     EndpointPool holder = holders.get(of.address());
     return holder == null || holder.server.id().equals(of.server().id()) ? null : holder;
   }
@@ -206,7 +214,7 @@
   }
 
   /** Begins an attempt; its outcome is told later, never from within this call. */
-  void send(OpenRequest of, String server, long patience) {
+  public void send(OpenRequest of, String server, long patience) {
     Attempt attempt = new Attempt(of, server, patience);
     EndpointPool endpoint = endpoints.get(server);
     if (endpoint == null || connections >= most && !makeRoom(endpoint)) {
@@ -297,12 +305,12 @@
   }
 
   /** How many connections to app servers are open or being opened. */
-  int connections() {
+  public int connections() {
     return connections;
   }
 
   /** How many of them are idle. */
-  int idle() {
+  public int idle() {
     return endpoints.values().stream().mapToInt(endpoint -> endpoint.idle.size()).sum();
   }
 
@@ -374,8 +382,8 @@
   }
 
   /** A connection to an app server. */
-  private final class Connection extends AnswerHandler {
-    private final AnswerDecoder decoder;
+  private final class Connection extends ResponseHandler {
+    private final ResponseDecoder decoder;
     private Channel channel;
     private EndpointPool endpoint;
     private Attempt attempt;
@@ -383,7 +391,7 @@
     private long idleSince;
     private Future<?> unfinished;
 
-    Connection(AnswerDecoder decoder) {
+    Connection(ResponseDecoder decoder) {
       super(MOST_BODY);
       this.decoder = decoder;
     }
@@ -406,7 +414,7 @@
     }
 
     @Override
-    boolean takesAnswersWithoutLength() {
+    protected boolean takesAnswersWithoutLength() {
       return true;
     }
 
@@ -444,12 +452,12 @@
     }
 
     @Override
-    boolean expectsAnswer() {
+    protected boolean expectsAnswer() {
       return attempt != null && attempt.written;
     }
 
     @Override
-    void answered(HttpResponse answer, ByteBuf body) {
+    protected void answered(HttpResponse answer, ByteBuf body) {
       Attempt of = attempt;
       attempt = null;
       of.on = null;
@@ -515,13 +523,13 @@
 
     /** A figure that cannot be read, or more than a request may count, is as good as none. */
     private double units(HttpResponse answer) {
-      double units = Figures.amount(answer.headers().get("X-Units-Charged"), mostUnits);
+      double units = StrictDecimal.amount(answer.headers().get("X-Units-Charged"), mostUnits);
       return Double.isNaN(units) ? 0 : units;
     }
 
     /** The connection's end, or the end of its use. */
     @Override
-    void spoilt() {
+    protected void spoilt() {
       awaitRest(false);
       if (attempt != null) {
         log.request(NodeLog.Event.SPOILT_ANSWER, attempt.of.request.id(), "by " + attempt.server);
--- a/src/main/java/merlinrouter/node/Rehearsal.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -1,4 +1,4 @@
-package merlinrouter.node;
+package merlinrouter.node.warmup;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -37,6 +37,13 @@
 import merlinrouter.model.Endpoint;
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.Idempotency;
+import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.http.ResponseDecoder;
+import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.transport.Transport;
+import merlinrouter.node.upstream.UpstreamPool;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.QuotaPlan;
 import merlinrouter.settings.RequestClass;
@@ -52,7 +59,7 @@
  * the other nodes can't bear the load for its span, so it is bounded in time, and where it can't be
  * held the node serves without.
  */
-final class Rehearsal implements AutoCloseable {
+public final class WarmUp implements AutoCloseable {
   private static final int SERVERS = 8, CLIENTS = 10, CUSTOMERS = 499;
 
   /** One answer in so many is a refusal unseen, or an error: further attempts are rehearsed too. */
@@ -72,12 +79,12 @@
   private final CompletableFuture<Void> done = new CompletableFuture<>();
   private final List<Path> files = new ArrayList<>();
   private final long begun = System.nanoTime();
-  private final Config config;
+  private final NodeConfig config;
   private final int requests;
   private final Path folder;
   private int sent, answered, served, taken;
 
-  private Rehearsal(Config config, int requests, Path parent) throws IOException {
+  private WarmUp(NodeConfig config, int requests, Path parent) throws IOException {
     this.config = config;
     this.requests = requests;
     // A name by chance would cost the start a search for the system's source of it.
@@ -88,8 +95,8 @@
    * Holds one of so many requests, shorter if it takes longer than {@code span} milliseconds;
    * returns how many were served.
    */
-  static int hold(Config config, int requests, long span, Path parent) {
-    try (Rehearsal rehearsal = new Rehearsal(config, requests, parent)) {
+  public static int hold(NodeConfig config, int requests, long span, Path parent) {
+    try (WarmUp rehearsal = new WarmUp(config, requests, parent)) {
       return rehearsal.play(span);
     } catch (Exception e) {
       EdgeNode.trouble("no rehearsal", e);
@@ -103,7 +110,7 @@
   }
 
   private int play(long span) throws Exception {
-    List<Config.Member> members = new ArrayList<>();
+    List<NodeConfig.Member> members = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
       SocketAddress address = file("s" + i);
       Transport.listening(loop, address)
@@ -112,7 +119,7 @@
           .sync();
       long started = i > 0 ? 0 : TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
       members.add(
-          new Config.Member(
+          new NodeConfig.Member(
               new Endpoint(
                   "rehearsal-" + i,
                   1,
@@ -124,8 +131,8 @@
               address));
     }
     SocketAddress peer = members.get(0).address();
-    Config mine =
-        new Config(
+    NodeConfig mine =
+        new NodeConfig(
             file("n"),
             peer,
             config.counter() == null ? null : peer,
@@ -134,7 +141,7 @@
             config.sockets() / 2,
             config.memory(),
             config.cores(),
-            new Config.Roll(1, true, members),
+            new NodeConfig.Roll(1, true, members),
             config.connectTimeout(),
             config.keepAlive(),
             config.names(),
@@ -142,7 +149,7 @@
     try (EdgeNode node = new EdgeNode(mine, NodeLog.silent())) {
       node.start();
       for (int i = 0; i < CLIENTS; i++) {
-        AnswerDecoder decoder = new AnswerDecoder();
+        ResponseDecoder decoder = new ResponseDecoder();
         Transport.connecting(loop, node.address())
             .handler(handlers(() -> new ChannelHandler[] {decoder, new Client()}))
             .connect(node.address())
@@ -264,9 +271,9 @@
   }
 
   /** Asks again as soon as it is answered. */
-  private final class Client extends AnswerHandler {
+  private final class Client extends ResponseHandler {
     Client() {
-      super(ServerPool.MOST_BODY);
+      super(UpstreamPool.MOST_BODY);
     }
 
     @Override
@@ -309,12 +316,12 @@
     }
 
     @Override
-    boolean expectsAnswer() {
+    protected boolean expectsAnswer() {
       return true;
     }
 
     @Override
-    void answered(HttpResponse answer, ByteBuf body) {
+    protected void answered(HttpResponse answer, ByteBuf body) {
       served += answer.status().equals(HttpResponseStatus.OK) ? 1 : 0;
       if (++answered >= requests && System.nanoTime() - begun > INTERVALS) {
         done.complete(null);
@@ -329,7 +336,7 @@
     }
 
     @Override
-    void spoilt() {
+    protected void spoilt() {
       done.complete(null);
     }
   }
--- a/src/test/java/merlinrouter/ArchitectureTest.java
+++ b/src/test/java/merlinrouter/ArchitectureTest.java
@@ -15,6 +15,8 @@
     noClasses()
         .that()
         .resideOutsideOfPackages("merlinrouter.node..", "merlinrouter.simulator..")
+        .and()
+        .doNotHaveFullyQualifiedName(Main.class.getName())
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("merlinrouter.node..", "merlinrouter.simulator..", "io.netty..")
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -14,13 +14,15 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.counter.CounterClient;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Calls to a counter that is late, spoils its answers or moves. */
 @Timeout(120)
-class CounterClientTest extends Stage {
+class CounterClientTest extends NodeFixture {
   private static final long LIFE = 4_000_000_000L;
   private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
   private EventLoop loop;
@@ -31,7 +33,7 @@
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     toClose.add(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly());
     loop = group.next();
-    Config config = counting(counter);
+    NodeConfig config = counting(counter);
     client =
         loop.submit(
                 () ->
@@ -42,8 +44,8 @@
             .get();
   }
 
-  private Config counting(Peer at) throws Exception {
-    return Config.parse(
+  private NodeConfig counting(ScriptedServer at) throws Exception {
+    return NodeConfig.parse(
         config()
             .replace(counter.address(), at.address())
             .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
@@ -68,9 +70,9 @@
         m -> {
           if (counter.seen.size() == 1) {
             go.join();
-            m.answer(Peer.ok("", "77"));
+            m.answer(ScriptedServer.ok("", "77"));
           } else {
-            m.answer(Peer.ok("", "88"));
+            m.answer(ScriptedServer.ok("", "88"));
           }
         };
     count(4, 1.5);
@@ -90,10 +92,10 @@
   void afterAnAnswerThatCannotBeReadTheLineIsReplaced() throws Exception {
     for (String spoilt :
         List.of(
-            Peer.ok("", "1d"),
-            Peer.ok("", "0x1p3"),
-            Peer.ok("", ""),
-            Peer.ok("", "NaN"),
+            ScriptedServer.ok("", "1d"),
+            ScriptedServer.ok("", "0x1p3"),
+            ScriptedServer.ok("", ""),
+            ScriptedServer.ok("", "NaN"),
             "noise",
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\n1",
             "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -103,8 +105,8 @@
       counting = m -> m.answer(spoilt);
       count(4, 1);
       assertTold("4 RESET 0.0");
-      Peer.Message first = counter.next();
-      counting = m -> m.answer(Peer.ok("", "5"));
+      ScriptedServer.Message first = counter.next();
+      counting = m -> m.answer(ScriptedServer.ok("", "5"));
       count(4, 1);
       assertTold("4 OK 5.0");
       assertNotSame(first.socket(), counter.next().socket(), spoilt);
@@ -118,12 +120,12 @@
     counting =
         m -> {
           go.join();
-          m.answer(Peer.ok("", "1"));
+          m.answer(ScriptedServer.ok("", "1"));
         };
-    Peer elsewhere = peer(m -> m.answer(Peer.ok("", "2")));
+    ScriptedServer elsewhere = peer(m -> m.answer(ScriptedServer.ok("", "2")));
     count(4, 1);
     counter.next();
-    Config moved = counting(elsewhere);
+    NodeConfig moved = counting(elsewhere);
     loop.submit(() -> client.move(moved.counter())).get();
     count(4, 1);
     count(8, 1);
--- a/src/test/java/merlinrouter/node/DeployTest.java
+++ b/src/test/java/merlinrouter/node/DeploymentTest.java
@@ -25,7 +25,7 @@
  * The command that the deploy file starts a node with, on the classes at hand instead of the jar.
  */
 @Timeout(120)
-class DeployTest extends Stage {
+class DeploymentTest extends NodeFixture {
   private static final int FLEET = 1_024;
 
   @TempDir Path folder;
@@ -39,7 +39,7 @@
     String command = line.substring("run = \"".length(), line.length() - 1);
     String onClasses =
         command
-            .replace("-jar target/merlinrouter.jar", "-cp \"$CLASSES\" merlinrouter.node.Main")
+            .replace("-jar target/merlinrouter.jar", "-cp \"$CLASSES\" merlinrouter.Main")
             .replaceFirst(" -XX:SharedArchiveFile=\\S+", "");
     assertTrue(onClasses.contains("$CLASSES") && onClasses.startsWith("exec "), command);
     return onClasses;
@@ -52,7 +52,7 @@
   @Test
   void aHangUpIsHeardThoughTheNodeWasStartedToIgnoreIt() throws Exception {
     Path file = folder.resolve("config.json");
-    Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
     String config = config();
     Files.writeString(file, config);
     ProcessBuilder builder =
@@ -82,7 +82,7 @@
   void aHangUpWhileTheFileIsReadHasItReadAgain() throws Exception {
     Path file = folder.resolve("config.pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-    Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
     String config = config();
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run()).redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
@@ -109,7 +109,7 @@
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
   }
 
-  private static String each(int from, int to, String phase, Peer last) {
+  private static String each(int from, int to, String phase, ScriptedServer last) {
     StringBuilder members = new StringBuilder();
     for (int i = from; i < to; i++) {
       String address =
@@ -131,7 +131,7 @@
    */
   @Test
   void aFleetOf1024ServersAnd120NodesFitsWhatRunGivesIt() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     Path file = folder.resolve("config.json");
     discovery =
         peer(
@@ -190,13 +190,13 @@
    */
   @Test
   void idleClientsThatFillTheDescriptorsLeaveRoomForListCounterAndServers() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     CompletableFuture<Void> back = new CompletableFuture<>();
     CompletableFuture<Void> asked = new CompletableFuture<>();
     counting =
         m -> {
           asked.complete(null);
-          m.answer(Peer.ok("", "1"));
+          m.answer(ScriptedServer.ok("", "1"));
         };
     discovery =
         peer(
@@ -249,7 +249,7 @@
       Map<String, String> headers = headers("u-" + i, "order", "20000");
       headers.put("X-Quota", "units=1,spread=2,first=0");
       write(usual, "POST /api", headers, "book");
-      status = status(Peer.read(usual));
+      status = status(ScriptedServer.read(usual));
     }
     asked.get();
     synchronized (lines) {
--- a/src/test/java/merlinrouter/node/WatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import merlinrouter.node.config.NodeConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -16,7 +17,7 @@
  * machine is.
  */
 @Timeout(120)
-class WatchTest extends Stage {
+class DiscoveryWatchTest extends NodeFixture {
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private static String chunk(String text) {
@@ -42,7 +43,7 @@
   /** A silence of 7 s once outlasted the 6 s after which what it misses counts as told. */
   @Test
   void aSilentWatchIsGivenUpBeforeWhatItMissesCountsAsTold() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     AtomicInteger watches = new AtomicInteger();
     discovery =
         peer(
@@ -68,7 +69,7 @@
   /** Else a list that comes at discovery's return waits for the mute watch's time-out. */
   @Test
   void aMuteWatchHasAnotherOpenedBesideIt() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     AtomicInteger watches = new AtomicInteger();
     CompletableFuture<Void> back = new CompletableFuture<>();
     discovery =
@@ -132,7 +133,7 @@
    */
   @Test
   void aListThatMustBeAskedForIsToldWithin6SecondsThoughCallsFailAndFallSilent() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     AtomicInteger watches = new AtomicInteger();
     CompletableFuture<Void> silent = new CompletableFuture<>();
     discovery =
@@ -160,7 +161,7 @@
 
   @Test
   void aListMayBeIndented() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     String list =
         change(6, member("s-1", server.address(), "Ready", 0))
                 .replace(",", ",\n  ")
@@ -178,7 +179,7 @@
    */
   @Test
   void aListCutShortIsAskedForAnewAndTheLastOneStays() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     String cut = "{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"s-";
     for (String sent :
         new String[] {cut, cut + "\n\n\n", cut + "\"\n", "]" + cut, "{}{\n", "no list\n"}) {
@@ -215,9 +216,9 @@
    */
   @Test
   void aListThatComesWithTheMoveIsTheNewWatchsToTell() throws Exception {
-    Peer before = peer(m -> m.answer(Peer.ok("", "before")));
-    Peer after = peer(m -> m.answer(Peer.ok("", "after")));
-    CompletableFuture<Peer.Message> open = new CompletableFuture<>();
+    ScriptedServer before = peer(m -> m.answer(ScriptedServer.ok("", "before")));
+    ScriptedServer after = peer(m -> m.answer(ScriptedServer.ok("", "after")));
+    CompletableFuture<ScriptedServer.Message> open = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
@@ -226,7 +227,7 @@
             });
     String config = config(member("s-0", before.address(), "Ready", 0));
     EdgeNode node = start(config);
-    Peer elsewhere =
+    ScriptedServer elsewhere =
         peer(
             m ->
                 m.answer(
@@ -238,11 +239,12 @@
                                         + ","
                                         + member("s-1", after.address(), "Ready", 0))
                                 + "\n")));
-    Peer.Message watch = open.get();
+    ScriptedServer.Message watch = open.get();
     node.loop()
         .submit(
             () -> {
-              node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
+              node.reload(
+                  NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
               // Written while the loop is held: the node finds it when the move is done.
               watch.answer(chunk(change(8, member("s-2", before.address(), "Ready", 0)) + "\n"));
               return null;
@@ -254,11 +256,11 @@
     String served = "";
     for (int i = 0; !served.equals("after"); i++) {
       order(client, "m-" + i);
-      served = Peer.read(client).body();
+      served = ScriptedServer.read(client).body();
     }
     for (int i = 0; i < 8; i++) {
       order(client, "n-" + i);
-      assertEquals("after", Peer.read(client).body());
+      assertEquals("after", ScriptedServer.read(client).body());
     }
   }
 }
--- a/src/test/java/merlinrouter/node/EdgeNodeTest.java
+++ b/src/test/java/merlinrouter/node/EdgeNodeTest.java
@@ -14,6 +14,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import merlinrouter.node.config.NodeConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -22,17 +23,18 @@
  * time.
  */
 @Timeout(120)
-class EdgeNodeTest extends Stage {
+class EdgeNodeTest extends NodeFixture {
   @Test
   void passesARequestOnAndItsAnswerBackOverOneConnection() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("X-Units-Charged: 3\r\n", "done")));
+    ScriptedServer server =
+        peer(m -> m.answer(ScriptedServer.ok("X-Units-Charged: 3\r\n", "done")));
     Socket client = client(node(server));
     for (String id : List.of("t-1", "t-2")) {
       order(client, id);
-      Peer.Message answer = Peer.read(client);
+      ScriptedServer.Message answer = ScriptedServer.read(client);
       assertEquals("200", status(answer));
       assertEquals("done", answer.body());
-      Peer.Message sent = server.next();
+      ScriptedServer.Message sent = server.next();
       assertEquals("POST /api?slot=4 HTTP/1.1", sent.first());
       assertEquals("book", sent.body());
       assertEquals(id, sent.headers().get("x-trace-id"));
@@ -45,12 +47,12 @@
   /** A null channel in the connect's listener once failed every first request on a connection. */
   @Test
   void theFirstRequestOnANewConnectionIsServed() throws Exception {
-    assertEquals("200", ask(client(node(peer(m -> m.answer(Peer.ok("", "x"))))), "t-1"));
+    assertEquals("200", ask(client(node(peer(m -> m.answer(ScriptedServer.ok("", "x"))))), "t-1"));
   }
 
   @Test
   void whatIsNoRequestIsTurnedAwayAtOnce() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     Map<String, String> bad =
         new TreeMap<>(
@@ -74,7 +76,7 @@
       headers.put(one.getKey(), one.getValue());
       Socket client = client(node);
       write(client, "POST /api", headers, "");
-      assertEquals("400", status(Peer.read(client)), one.getKey());
+      assertEquals("400", status(ScriptedServer.read(client)), one.getKey());
     }
     for (String quota :
         List.of(
@@ -87,14 +89,14 @@
       headers.put("X-Quota", quota);
       Socket client = client(node);
       write(client, "POST /api", headers, "");
-      assertEquals("400", status(Peer.read(client)), quota);
+      assertEquals("400", status(ScriptedServer.read(client)), quota);
     }
     Map<String, String> good = headers("t-1", "order", "20000");
     for (Map.Entry<String, String> one :
         Map.of("GET /api", "405", "POST /elsewhere", "404").entrySet()) {
       Socket client = client(node);
       write(client, one.getKey(), good, "");
-      assertEquals(one.getValue(), status(Peer.read(client)), one.getKey());
+      assertEquals(one.getValue(), status(ScriptedServer.read(client)), one.getKey());
     }
     assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
   }
@@ -102,11 +104,11 @@
   @Test
   void aSecondRequestOfAnOpenIdIsTurnedAwayAndTheFirstIsServed() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    ScriptedServer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(ScriptedServer.ok("", "x"));
             });
     EdgeNode node = node(server);
     Socket first = client(node);
@@ -114,16 +116,16 @@
     server.next();
     assertEquals("409", ask(client(node), "t-1"));
     go.complete(null);
-    assertEquals("200", status(Peer.read(first)));
+    assertEquals("200", status(ScriptedServer.read(first)));
   }
 
   @Test
   void aTurnedAwayAttemptGoesElsewhereUnseen() throws Exception {
-    Peer full =
+    ScriptedServer full =
         peer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
-    Peer gone = peer(m -> {});
+    ScriptedServer gone = peer(m -> {});
     gone.close();
-    Peer good = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer good = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     Socket client = client(node(full, gone, good));
     for (int i = 0; i < 8; i++) {
       assertEquals("200", ask(client, "t-" + i));
@@ -132,7 +134,7 @@
 
   @Test
   void anAnswerWithoutALengthIsPassedOnOnceItsConnectionHasEndedInOrder() throws Exception {
-    Peer server =
+    ScriptedServer server =
         peer(
             m -> {
               m.answer("HTTP/1.1 200 OK\r\n\r\nfirst part, ");
@@ -142,7 +144,7 @@
     Socket client = client(node(server));
     for (String id : List.of("t-1", "t-2")) {
       write(client, "POST /api", headers(id, "strict", "20000"), "book");
-      Peer.Message answer = Peer.read(client);
+      ScriptedServer.Message answer = ScriptedServer.read(client);
       assertEquals("200", status(answer));
       assertEquals("first part, and the rest", answer.body());
     }
@@ -161,7 +163,7 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
             "",
             "HTTP/1.1 200 OK\r\n\r\nno end told")) {
-      Peer server =
+      ScriptedServer server =
           peer(
               m -> {
                 m.answer(answer);
@@ -174,7 +176,7 @@
               });
       Socket client = client(node(server));
       write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
-      assertEquals("502", status(Peer.read(client)), answer);
+      assertEquals("502", status(ScriptedServer.read(client)), answer);
       server.next();
       assertTrue(server.seen.isEmpty(), "it must have been sent once: " + answer);
     }
@@ -186,10 +188,10 @@
    */
   @Test
   void silenceIsAnsweredAndItsConnectionClosed() throws Exception {
-    Peer server = peer(m -> {});
+    ScriptedServer server = peer(m -> {});
     Socket client = client(node(server));
     write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
-    assertEquals("502", status(Peer.read(client)));
+    assertEquals("502", status(ScriptedServer.read(client)));
     server.next();
     assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
   }
@@ -197,7 +199,7 @@
   /** Silent connections once could take every place for good. */
   @Test
   void silentClientsGiveWayToNewOnes() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node =
         start(
             config(member("s-0", server.address(), "Ready", 0))
@@ -211,11 +213,11 @@
   @Test
   void aDrainAnswersWhatWasTakenAndClosesTheRest() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    ScriptedServer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(ScriptedServer.ok("", "x"));
             });
     EdgeNode node = node(server);
     Socket busy = client(node);
@@ -229,10 +231,10 @@
     assertFalse(drained.isDone());
     go.complete(null);
     for (Socket client : List.of(busy, late)) {
-      Peer.Message answer = Peer.read(client);
+      ScriptedServer.Message answer = ScriptedServer.read(client);
       assertEquals("200", status(answer));
       assertEquals("close", answer.headers().get("connection"));
-      assertNull(Peer.read(client));
+      assertNull(ScriptedServer.read(client));
     }
     drained.get(60, TimeUnit.SECONDS);
     // The kernel lets go of a listening socket only when the selector next runs: until then it may
@@ -248,8 +250,8 @@
 
   @Test
   void aWatchThatEndsGoesOnAfterItsLastRevision() throws Exception {
-    Peer moved = peer(m -> m.answer(Peer.ok("", "new")));
-    Peer old = peer(m -> m.answer(Peer.ok("", "old")));
+    ScriptedServer moved = peer(m -> m.answer(ScriptedServer.ok("", "new")));
+    ScriptedServer old = peer(m -> m.answer(ScriptedServer.ok("", "old")));
     String line =
         "{\"revision\":8,\"complete\":false,\"members\":["
             + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000)
@@ -271,7 +273,7 @@
     EdgeNode node = node(old);
     Socket client = client(node);
     order(client, "t-1");
-    assertEquals("old", Peer.read(client).body());
+    assertEquals("old", ScriptedServer.read(client).body());
     go.complete(null);
     assertTrue(discovery.next().first().contains("watch=1&after=5"));
     assertTrue(discovery.next().first().contains("watch=1&after=8"));
@@ -279,13 +281,13 @@
     // used.
     assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
     order(client, "t-2");
-    assertEquals("new", Peer.read(client).body());
+    assertEquals("new", ScriptedServer.read(client).body());
   }
 
   /** Reached under an old id, a new app server would get work after its own drain was told. */
   @Test
   void anAddressBelongsToTheAppServerThatStartedThereLast() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     List<CompletableFuture<Void>> go =
         List.of(new CompletableFuture<>(), new CompletableFuture<>());
     discovery =
@@ -318,7 +320,7 @@
     }
     Socket client = client(node);
     write(client, "POST /api", headers("t-2", "order", "1500"), "");
-    Peer.Message refusal = Peer.read(client);
+    ScriptedServer.Message refusal = ScriptedServer.read(client);
     assertEquals("429", status(refusal));
     double after = Double.parseDouble(refusal.headers().get("retry-after"));
     assertTrue(
@@ -332,7 +334,7 @@
    */
   @Test
   void anErrorOfDiscoveryIsNoList() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
     discovery =
         peer(
@@ -366,7 +368,7 @@
                 "the configuration is not JSON"));
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
-          assertThrows(Config.Invalid.class, () -> Config.parse(one.getKey())).getMessage();
+          assertThrows(NodeConfig.Invalid.class, () -> NodeConfig.parse(one.getKey())).getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
     }
--- a/src/test/java/merlinrouter/node/SpoiltAnswerTest.java
+++ b/src/test/java/merlinrouter/node/MalformedResponseTest.java
@@ -8,12 +8,13 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import merlinrouter.node.http.StrictDecimal;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** App servers whose answers are spoilt, or bring more than belongs to them. */
 @Timeout(120)
-class SpoiltAnswerTest extends Stage {
+class MalformedResponseTest extends NodeFixture {
   /**
    * What stood behind an answer was once taken for the next request's answer, because the pool had
    * it by then.
@@ -27,11 +28,12 @@
             "\r\n",
             "noise",
             "HTTP/1.1 100 Continue\r\n\r\n")) {
-      Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id")) + behind));
+      ScriptedServer server =
+          peer(m -> m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")) + behind));
       Socket client = client(node(server));
       for (String id : List.of("t-1", "t-2", "t-3")) {
         order(client, id);
-        Peer.Message answer = Peer.read(client);
+        ScriptedServer.Message answer = ScriptedServer.read(client);
         assertEquals("200", status(answer), behind);
         assertEquals(id, answer.body(), behind);
         assertNotNull(
@@ -43,10 +45,10 @@
   @Test
   void bytesOnAnIdleConnectionCloseIt() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    ScriptedServer server =
         peer(
             m -> {
-              m.answer(Peer.ok("", "x"));
+              m.answer(ScriptedServer.ok("", "x"));
               go.join();
               m.answer("H");
             });
@@ -77,19 +79,20 @@
             "HTTP/1.1 200 OK\r\nX-Open: end",
             "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n",
             "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
-      Peer[] server = new Peer[1];
-      server[0] = peer(m -> m.answer(server[0].seen.size() == 1 ? spoilt : Peer.ok("", "good")));
+      ScriptedServer[] server = new ScriptedServer[1];
+      server[0] =
+          peer(m -> m.answer(server[0].seen.size() == 1 ? spoilt : ScriptedServer.ok("", "good")));
       Socket client = client(node(server[0]));
       client.setSoTimeout(9_000);
       order(client, "t-1");
-      Peer.Message answer = Peer.read(client);
+      ScriptedServer.Message answer = ScriptedServer.read(client);
       assertEquals("200", status(answer), spoilt);
       assertEquals("good", answer.body(), spoilt);
       // It may have run: a request that must not run twice is not sent again.
-      Peer strict = peer(m -> m.answer(spoilt));
+      ScriptedServer strict = peer(m -> m.answer(spoilt));
       Socket other = client(node(strict));
       write(other, "POST /api", headers("t-2", "strict", "20000"), "book");
-      assertEquals("502", status(Peer.read(other)), spoilt);
+      assertEquals("502", status(ScriptedServer.read(other)), spoilt);
       strict.next();
       assertTrue(strict.seen.isEmpty(), "it must have been sent once: " + spoilt);
     }
@@ -97,25 +100,25 @@
 
   @Test
   void whatComesAheadOfAnAnswerIsPassedOver() throws Exception {
-    Peer server =
+    ScriptedServer server =
         peer(
             m ->
                 m.answer(
                     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
-                        + Peer.ok(
+                        + ScriptedServer.ok(
                             "X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n",
                             "good")));
     Socket client = client(node(server));
     for (String id : List.of("t-1", "t-2")) {
       order(client, id);
-      assertEquals("good", Peer.read(client).body());
+      assertEquals("good", ScriptedServer.read(client).body());
     }
   }
 
   @Test
   void onlyPlainFiguresWithinBoundsCount() {
-    assertEquals(3, Figures.amount("3", 8));
-    assertEquals(2.5, Figures.amount("2.5", 8));
+    assertEquals(3, StrictDecimal.amount("3", 8));
+    assertEquals(2.5, StrictDecimal.amount("2.5", 8));
     for (String bad :
         List.of(
             "",
@@ -131,12 +134,12 @@
             "1.2.3",
             " 1",
             "\u0661")) {
-      assertTrue(Double.isNaN(Figures.amount(bad, 8)), bad);
+      assertTrue(Double.isNaN(StrictDecimal.amount(bad, 8)), bad);
     }
-    assertTrue(Double.isNaN(Figures.amount(null, 8)));
-    assertEquals(-1.5e7, Figures.number("-1.5e7"));
+    assertTrue(Double.isNaN(StrictDecimal.amount(null, 8)));
+    assertEquals(-1.5e7, StrictDecimal.number("-1.5e7"));
     for (String bad : List.of("1d", "0x1p1", "NaN", "1e999", "e", "")) {
-      assertTrue(Double.isNaN(Figures.number(bad)), bad);
+      assertTrue(Double.isNaN(StrictDecimal.number(bad)), bad);
     }
   }
 }
--- a/src/test/java/merlinrouter/node/RudeClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -13,12 +13,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
+import merlinrouter.node.downstream.MemoryBudget;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Clients that send what is no request, too much, too little or nothing. */
 @Timeout(120)
-class RudeClientTest extends Stage {
+class MisbehavingClientTest extends NodeFixture {
   private static void send(Socket to, String text) throws IOException {
     to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
@@ -32,10 +33,10 @@
   /** An error and a close, or, where much is left unread, at least the close. */
   private static void assertRefused(Socket client, String status, String what) throws IOException {
     try {
-      Peer.Message answer = Peer.read(client);
+      ScriptedServer.Message answer = ScriptedServer.read(client);
       assertEquals(status, status(answer), what);
       assertEquals("close", answer.headers().get("connection"), what);
-      assertNull(Peer.read(client), what);
+      assertNull(ScriptedServer.read(client), what);
     } catch (SocketException e) {
       assertTrue(e.getMessage().contains("reset"), what + ": " + e);
     }
@@ -46,7 +47,7 @@
    */
   @Test
   void nothingBehindARefusedMessageIsRead() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     String good = head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
     String head = head(headers("t-1", "order", "20000"), "POST /api");
@@ -82,7 +83,7 @@
 
   @Test
   void aBodyTooLargeIsTurnedAwayUnread() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     String head = head(headers("t-1", "order", "20000"), "POST /api");
     for (String bad :
@@ -102,11 +103,11 @@
   @Test
   void silenceAndHalfARequestEndInTimeAndAnOpenRequestDoesNot() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    ScriptedServer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(ScriptedServer.ok("", "x"));
             });
     EdgeNode node = node(server);
     Socket busy = client(node);
@@ -121,11 +122,11 @@
     Socket silent = client(node);
     assertRefused(halfHead, "408", "half a head");
     assertRefused(halfBody, "408", "half a body");
-    assertNull(Peer.read(silent));
+    assertNull(ScriptedServer.read(silent));
     // The request has been open for longer than all of these.
     go.complete(null);
-    assertEquals("200", status(Peer.read(busy)));
-    assertNull(Peer.read(busy), "then it is idle, and closes");
+    assertEquals("200", status(ScriptedServer.read(busy)));
+    assertNull(ScriptedServer.read(busy), "then it is idle, and closes");
   }
 
   /**
@@ -136,11 +137,11 @@
   void whatIsSentAheadWaitsUnread() throws Exception {
     int count = 400;
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    ScriptedServer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", m.headers().get("x-trace-id")));
+              m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")));
             });
     EdgeNode node = node(server);
     Socket ahead = client(node);
@@ -163,12 +164,12 @@
     server.next();
     assertFalse(written.isDone(), "all of 25 MB was read ahead");
     go.complete(null);
-    assertEquals("200", status(Peer.read(usual)));
+    assertEquals("200", status(ScriptedServer.read(usual)));
     // Each has its one answer in its turn: its own, or that it is given up, since behind so much
     // that waits
     // unread its client may have left and nothing is to be sent on 0.1 s later.
     for (int i = 0; i < count; i++) {
-      Peer.Message answer = Peer.read(ahead);
+      ScriptedServer.Message answer = ScriptedServer.read(ahead);
       assertEquals(status(answer).equals("200") ? "a-" + i : "", answer.body());
       assertTrue(Set.of("200", "502").contains(status(answer)), answer.first());
       assertTrue(
@@ -177,12 +178,12 @@
     written.join();
     // All is read now, its client is seen again, and what it asks is served.
     order(ahead, "a-last");
-    assertEquals("a-last", Peer.read(ahead).body());
+    assertEquals("a-last", ScriptedServer.read(ahead).body());
   }
 
   @Test
   void bodiesShareOneBudgetAndSmallOnesHaveTheLastQuarter() {
-    ByteBudget budget = new ByteBudget(16 << 20);
+    MemoryBudget budget = new MemoryBudget(16 << 20);
     assertTrue(budget.allows(64 * 1024));
     budget.change(800_000);
     assertFalse(budget.allows(64 * 1024));
@@ -196,14 +197,14 @@
   /** Clients that keep a connection after one request once left the others none. */
   @Test
   void ofManyIdleConnectionsNoMoreAreKept() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "done")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "done")));
     EdgeNode node =
         start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
     Socket last = null;
     for (int i = 0; i < 30; i++) {
       last = client(node);
       order(last, "k-" + i);
-      Peer.Message answer = Peer.read(last);
+      ScriptedServer.Message answer = ScriptedServer.read(last);
       assertEquals("200", status(answer));
       if (i == 20) {
         assertEquals(
--- a/src/test/java/merlinrouter/node/Stage.java
+++ b/src/test/java/merlinrouter/node/NodeFixture.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import merlinrouter.node.config.NodeConfig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -21,13 +22,13 @@
  * clients.
  */
 @Timeout(120)
-abstract class Stage {
+public abstract class NodeFixture {
   static final String UNCHANGED =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
   final List<AutoCloseable> toClose = new ArrayList<>();
-  Peer discovery;
-  Peer counter;
-  volatile Peer.Script counting = m -> m.answer(Peer.ok("", "1"));
+  ScriptedServer discovery;
+  ScriptedServer counter;
+  volatile ScriptedServer.Script counting = m -> m.answer(ScriptedServer.ok("", "1"));
 
   @BeforeEach
   void peers() throws IOException {
@@ -42,8 +43,8 @@
     }
   }
 
-  Peer peer(Peer.Script script) throws IOException {
-    Peer peer = new Peer(script);
+  ScriptedServer peer(ScriptedServer.Script script) throws IOException {
+    ScriptedServer peer = new ScriptedServer(script);
     toClose.add(peer);
     return peer;
   }
@@ -69,7 +70,7 @@
         .replace("MEMBERS", String.join(",", members));
   }
 
-  EdgeNode node(Peer... servers) throws Exception {
+  EdgeNode node(ScriptedServer... servers) throws Exception {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -78,7 +79,7 @@
   }
 
   EdgeNode start(String config) throws Exception {
-    EdgeNode node = new EdgeNode(Config.parse(config));
+    EdgeNode node = new EdgeNode(NodeConfig.parse(config));
     toClose.add(node);
     node.start();
     return node;
@@ -128,13 +129,13 @@
     write(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
   }
 
-  static String status(Peer.Message answer) {
+  static String status(ScriptedServer.Message answer) {
     assertNotNull(answer, "the connection ended without an answer");
     return answer.first().split(" ")[1];
   }
 
   static String ask(Socket client, String id) throws IOException {
     order(client, id);
-    return status(Peer.read(client));
+    return status(ScriptedServer.read(client));
   }
 }
--- a/src/test/java/merlinrouter/node/CrossingTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -25,6 +25,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import merlinrouter.model.ClientRequest;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.request.OpenRequest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -34,7 +36,7 @@
  * only ever outlasted, never met.
  */
 @Timeout(120)
-class CrossingTest extends Stage {
+class RaceConditionTest extends NodeFixture {
   private static final long HOLD = TimeUnit.SECONDS.toNanos(2);
 
   /** An app server that nobody can connect to until it lets its line go. */
@@ -60,11 +62,11 @@
     }
 
     /** Lets all in and returns the first request that comes, from whichever connection. */
-    CompletableFuture<Peer.Message> open() throws IOException {
+    CompletableFuture<ScriptedServer.Message> open() throws IOException {
       for (Socket socket : line) {
         socket.close();
       }
-      CompletableFuture<Peer.Message> first = new CompletableFuture<>();
+      CompletableFuture<ScriptedServer.Message> first = new CompletableFuture<>();
       Thread accepting =
           new Thread(
               () -> {
@@ -75,10 +77,10 @@
                         new Thread(
                             () -> {
                               try {
-                                Peer.Message message = Peer.read(socket);
+                                ScriptedServer.Message message = ScriptedServer.read(socket);
                                 if (message != null) {
                                   first.complete(message);
-                                  message.answer(Peer.ok("", "late"));
+                                  message.answer(ScriptedServer.ok("", "late"));
                                 }
                               } catch (IOException e) {
                                 // One of the line.
@@ -173,7 +175,7 @@
     until(node, () -> node.pool().connections() == 1);
     client.close();
     allLeft(node);
-    CompletableFuture<Peer.Message> first = server.open();
+    CompletableFuture<ScriptedServer.Message> first = server.open();
     until(node, () -> node.pool().idle() == 1 || first.isDone());
     assertFalse(first.isDone(), "its connect came up, and it was sent with nobody waiting");
     lookup(client(node), "t-2");
@@ -183,16 +185,16 @@
   @Test
   void aRequestWhoseClientLeftBetweenItsAttemptsIsNotSentAgain() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer.Script once =
+    ScriptedServer.Script once =
         m -> {
           if (m.headers().get("x-trace-id").equals("t-1")) {
             go.join();
             m.socket().close();
           } else {
-            m.answer(Peer.ok("", "x"));
+            m.answer(ScriptedServer.ok("", "x"));
           }
         };
-    Peer one = peer(once);
+    ScriptedServer one = peer(once);
     EdgeNode node = node(one);
     Socket client = client(node);
     lookup(client, "t-1");
@@ -205,7 +207,7 @@
     assertEquals("t-2", one.next().headers().get("x-trace-id"));
   }
 
-  private String asking(Peer server) throws IOException {
+  private String asking(ScriptedServer server) throws IOException {
     return config(member("s-0", server.address(), "Ready", 0))
         .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 4000000000");
   }
@@ -226,9 +228,9 @@
     counting =
         m -> {
           go.join();
-          m.answer(Peer.ok("", "1"));
+          m.answer(ScriptedServer.ok("", "1"));
         };
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = start(asking(server));
     Socket client = client(node);
     write(client, "POST /api", shared("t-1"), "book");
@@ -252,7 +254,7 @@
    */
   @Test
   void whatIsSentAheadIsHeldToABoundHoweverLongItsTurnTakes() throws Exception {
-    Peer server = peer(m -> {});
+    ScriptedServer server = peer(m -> {});
     EdgeNode node = node(server);
     Socket ahead = client(node);
     order(ahead, "t-1");
@@ -287,7 +289,7 @@
    */
   @Test
   void aRequestWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     Socket client = client(node);
     while (node.connections() < 1) {
@@ -311,14 +313,14 @@
    */
   @Test
   void aRequestWhoseClientLeftWhileTheLoopWasHeldIsNotSentAgain() throws Exception {
-    CompletableFuture<Peer.Message> sent = new CompletableFuture<>();
-    Peer server =
+    CompletableFuture<ScriptedServer.Message> sent = new CompletableFuture<>();
+    ScriptedServer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-1")) {
                 sent.complete(m);
               } else {
-                m.answer(Peer.ok("", "x"));
+                m.answer(ScriptedServer.ok("", "x"));
               }
             });
     EdgeNode node = node(server);
@@ -347,14 +349,14 @@
   /** Each was once given 0.2 s again from its turn on. */
   @Test
   void whatWaitsBehindARequestIsNotSentEitherOnceItsClientHasLeftUnseen() throws Exception {
-    CompletableFuture<Peer.Message> sent = new CompletableFuture<>();
-    Peer server =
+    CompletableFuture<ScriptedServer.Message> sent = new CompletableFuture<>();
+    ScriptedServer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-1")) {
                 sent.complete(m);
               } else {
-                m.answer(Peer.ok("", "x"));
+                m.answer(ScriptedServer.ok("", "x"));
               }
             });
     EdgeNode node = node(server);
@@ -370,7 +372,7 @@
         .submit(
             () -> {
               Thread.sleep(150);
-              sent.join().answer(Peer.ok("", "x"));
+              sent.join().answer(ScriptedServer.ok("", "x"));
               return null;
             })
         .get();
@@ -380,7 +382,7 @@
   }
 
   /** So short an aim that a request with little time left is still tried. */
-  private String hasty(Peer server) throws IOException {
+  private String hasty(ScriptedServer server) throws IOException {
     return config(member("s-0", server.address(), "Ready", 0))
         .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 400000000");
   }
@@ -390,14 +392,14 @@
    */
   @Test
   void theTimeOfARequestThatWaitsBehindAnotherGoesByMeanwhile() throws Exception {
-    CompletableFuture<Peer.Message> sent = new CompletableFuture<>();
-    Peer server =
+    CompletableFuture<ScriptedServer.Message> sent = new CompletableFuture<>();
+    ScriptedServer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-1")) {
                 sent.complete(m);
               } else {
-                m.answer(Peer.ok("", "x"));
+                m.answer(ScriptedServer.ok("", "x"));
               }
             });
     EdgeNode node = start(hasty(server));
@@ -410,12 +412,12 @@
         .submit(
             () -> {
               Thread.sleep(450);
-              sent.join().answer(Peer.ok("", "x"));
+              sent.join().answer(ScriptedServer.ok("", "x"));
               return null;
             })
         .get();
-    assertEquals("200", status(Peer.read(client)));
-    assertFalse(status(Peer.read(client)).equals("200"), "it was served behind its time");
+    assertEquals("200", status(ScriptedServer.read(client)));
+    assertFalse(status(ScriptedServer.read(client)).equals("200"), "it was served behind its time");
     order(client, "t-3");
     assertEquals("t-3", server.next().headers().get("x-trace-id"));
   }
@@ -423,7 +425,7 @@
   /** The same for what a loop that was held has not read yet. */
   @Test
   void theTimeOfARequestThatIsNotReadYetGoesByMeanwhile() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = start(hasty(server));
     Socket client = client(node);
     assertEquals("200", ask(client, "t-1"));
@@ -436,7 +438,7 @@
               return null;
             })
         .get();
-    assertFalse(status(Peer.read(client)).equals("200"), "it was served behind its time");
+    assertFalse(status(ScriptedServer.read(client)).equals("200"), "it was served behind its time");
     order(client, "t-3");
     assertEquals("t-3", server.next().headers().get("x-trace-id"));
   }
@@ -465,9 +467,9 @@
     counting =
         m -> {
           go.join();
-          m.answer(Peer.ok("", "1"));
+          m.answer(ScriptedServer.ok("", "1"));
         };
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = start(asking(server));
     Socket client = client(node);
     write(client, "POST /api", shared("t-1"), "book");
@@ -485,7 +487,7 @@
             })
         .get();
     go.complete(null);
-    assertEquals("502", status(Peer.read(client)));
+    assertEquals("502", status(ScriptedServer.read(client)));
     order(client(node), "t-2");
     assertEquals("t-2", server.next().headers().get("x-trace-id"));
   }
@@ -495,11 +497,11 @@
    */
   @Test
   void aSecondAnswerThatComesWhileTheLoopIsHeldIsNotTheNextRequests() throws Exception {
-    CompletableFuture<Peer.Message> answered = new CompletableFuture<>();
-    Peer server =
+    CompletableFuture<ScriptedServer.Message> answered = new CompletableFuture<>();
+    ScriptedServer server =
         peer(
             m -> {
-              m.answer(Peer.ok("", m.headers().get("x-trace-id")));
+              m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")));
               answered.complete(m);
             });
     EdgeNode node = node(server);
@@ -510,7 +512,7 @@
             .submit(
                 () -> {
                   Thread.sleep(50);
-                  answered.join().answer(Peer.ok("", "t-1"));
+                  answered.join().answer(ScriptedServer.ok("", "t-1"));
                   return take(node, "t-2");
                 })
             .get()
@@ -524,7 +526,8 @@
    */
   @Test
   void aConnectionThatStoodIdleForLongIsNotUsedThoughNoSweepHasComeYet() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id"))));
+    ScriptedServer server =
+        peer(m -> m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id"))));
     EdgeNode node =
         start(
             config(member("s-0", server.address(), "Ready", 0))
@@ -551,7 +554,7 @@
    */
   @Test
   void aRepeatIsNotSentWhereItsConnectionMayComeUpBehindTheKeysWindow() throws Exception {
-    Peer breaks = peer(m -> m.socket().close());
+    ScriptedServer breaks = peer(m -> m.socket().close());
     EdgeNode node =
         start(
             config(member("s-0", breaks.address(), "Ready", 0))
@@ -560,7 +563,9 @@
     Socket client = client(node);
     order(client, "t-1");
     assertEquals(
-        "429", status(Peer.read(client)), "refused at once, since all servers drop repeats");
+        "429",
+        status(ScriptedServer.read(client)),
+        "refused at once, since all servers drop repeats");
     assertEquals(1, breaks.seen.size());
   }
 
@@ -569,7 +574,7 @@
    */
   @Test
   void aNodeToldToEndBeforeItsBindNeverServes() throws Exception {
-    EdgeNode node = new EdgeNode(Config.parse(config()));
+    EdgeNode node = new EdgeNode(NodeConfig.parse(config()));
     toClose.add(node);
     node.drain().get(20, TimeUnit.SECONDS);
     Thread starting =
@@ -590,11 +595,11 @@
   /** Between the file's reading and the start the new addresses once had no place to go. */
   @Test
   void aHangUpBeforeTheStartMovesTheFirstWatchOn() throws Exception {
-    Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
     String config = config();
-    EdgeNode node = new EdgeNode(Config.parse(config));
+    EdgeNode node = new EdgeNode(NodeConfig.parse(config));
     toClose.add(node);
-    node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
+    node.reload(NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
     node.start();
     assertTrue(elsewhere.next().first().contains("after=5"));
     until(node, () -> node.discovery().out() == 1);
@@ -606,7 +611,7 @@
    */
   @Test
   void whatCameBeforeTheGraceEndsIsAnsweredThoughTheLoopWasHeld() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     Socket known = client(node);
     assertEquals("200", ask(known, "t-0"));
@@ -625,8 +630,8 @@
                 })
             .get();
     toClose.add(fresh);
-    assertEquals("200", status(Peer.read(fresh)));
-    assertEquals("200", status(Peer.read(known)));
+    assertEquals("200", status(ScriptedServer.read(fresh)));
+    assertEquals("200", status(ScriptedServer.read(known)));
     drained.get(60, TimeUnit.SECONDS);
   }
 
@@ -636,7 +641,7 @@
    */
   @Test
   void allWhoConnectedBeforeTheGraceEndsAreAnsweredHoweverManyThereAre() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     CompletableFuture<Void> drained = node.loop().submit(() -> node.drain()).get();
     InetSocketAddress at = (InetSocketAddress) node.address();
@@ -657,7 +662,7 @@
             .get();
     toClose.addAll(crowd);
     for (Socket socket : crowd) {
-      status(Peer.read(socket));
+      status(ScriptedServer.read(socket));
     }
     drained.get(60, TimeUnit.SECONDS);
   }
@@ -669,13 +674,13 @@
   @Test
   void whatALoopIsHeldForWithinAnEventIsTakenFromWhatTheNextAttemptIsTold() throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
-    Peer.Script script =
+    ScriptedServer.Script script =
         m ->
             m.answer(
                 first.getAndSet(false)
                     ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-                    : Peer.ok("", "x"));
-    Peer[] servers = {peer(script), peer(script)};
+                    : ScriptedServer.ok("", "x"));
+    ScriptedServer[] servers = {peer(script), peer(script)};
     EdgeNode node = node(servers);
     Socket client = client(node);
     PrintStream usual = System.out;
@@ -699,15 +704,17 @@
         first.set(true);
         begun.set(System.nanoTime());
         write(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
-        assertEquals("200", status(Peer.read(client)));
+        assertEquals("200", status(ScriptedServer.read(client)));
       }
     } finally {
       System.setOut(usual);
     }
     long most = 20_000 - TimeUnit.NANOSECONDS.toMillis(HOLD) + 150;
     long least = Long.MAX_VALUE;
-    for (Peer server : servers) {
-      for (Peer.Message sent = server.seen.poll(); sent != null; sent = server.seen.poll()) {
+    for (ScriptedServer server : servers) {
+      for (ScriptedServer.Message sent = server.seen.poll();
+          sent != null;
+          sent = server.seen.poll()) {
         least = Math.min(least, Long.parseLong(sent.headers().get("x-expires-in-ms")));
       }
     }
--- a/src/test/java/merlinrouter/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -13,13 +13,14 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import merlinrouter.node.config.NodeConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A new configuration while the node serves. */
 @Timeout(120)
-class ReloadTest extends Stage {
+class ReloadTest extends NodeFixture {
   @TempDir Path folder;
 
   private static String watched(String line) {
@@ -33,11 +34,11 @@
   @Test
   void theOldListServesUntilTheNewWatchSpeaks() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-    Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+    ScriptedServer old = peer(m -> m.answer(ScriptedServer.ok("", "old")));
+    ScriptedServer fresh = peer(m -> m.answer(ScriptedServer.ok("", "new")));
     String config = config(member("s-0", old.address(), "Ready", 0));
     EdgeNode node = start(config);
-    Peer elsewhere =
+    ScriptedServer elsewhere =
         peer(
             m -> {
               go.join();
@@ -48,23 +49,23 @@
                           + "]}"));
             });
     discovery.next();
-    node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
+    node.reload(NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
     assertNotNull(discovery.ended.poll(60, TimeUnit.SECONDS), "the old watch must end");
     assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
     Socket client = client(node);
     order(client, "t-1");
-    assertEquals("old", Peer.read(client).body());
+    assertEquals("old", ScriptedServer.read(client).body());
     go.complete(null);
     assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
     order(client, "t-2");
-    assertEquals("new", Peer.read(client).body());
+    assertEquals("new", ScriptedServer.read(client).body());
   }
 
   /** Without a handler the signal ends the JVM: this needs a process of its own. */
   @Test
   void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
     Path file = folder.resolve("config.json");
-    Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
     String config = config();
     Files.writeString(file, config);
     ProcessBuilder builder =
@@ -72,7 +73,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                "merlinrouter.node.Main",
+                "merlinrouter.Main",
                 "serve")
             .redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
--- a/src/test/java/merlinrouter/node/Peer.java
+++ b/src/test/java/merlinrouter/node/ScriptedServer.java
@@ -18,9 +18,9 @@
  * A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain
  * sockets.
  */
-final class Peer implements AutoCloseable {
+public final class ScriptedServer implements AutoCloseable {
   /** What came: the request line, the headers by lower-case name, the body. */
-  record Message(String first, Map<String, String> headers, String body, Socket socket) {
+  public record Message(String first, Map<String, String> headers, String body, Socket socket) {
     void answer(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       socket.getOutputStream().flush();
@@ -28,7 +28,7 @@
   }
 
   /** What a peer does with a message; it may answer, close the connection, or keep silent. */
-  interface Script {
+  public interface Script {
     void on(Message message) throws IOException, InterruptedException;
   }
 
@@ -36,7 +36,7 @@
   final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
   private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-  Peer(Script script) throws IOException {
+  ScriptedServer(Script script) throws IOException {
     daemon(
         () -> {
           while (true) {
@@ -71,11 +71,11 @@
     thread.start();
   }
 
-  String address() {
+  public String address() {
     return "127.0.0.1:" + listening.getLocalPort();
   }
 
-  Message next() throws InterruptedException {
+  public Message next() throws InterruptedException {
     Message message = seen.poll(30, TimeUnit.SECONDS);
     if (message == null) {
       throw new AssertionError("nothing came");
@@ -83,12 +83,12 @@
     return message;
   }
 
-  static String ok(String headers, String body) {
+  public static String ok(String headers, String body) {
     return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
   /** Reads one message; null at the connection's end. */
-  static Message read(Socket socket) throws IOException {
+  public static Message read(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     String first = line(in);
     if (first == null) {
--- a/src/test/java/merlinrouter/node/RehearsalTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -12,11 +12,13 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.warmup.WarmUp;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a node does before it serves, and that nobody but itself hears of it. */
-class RehearsalTest extends Stage {
+class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
   private long left() throws Exception {
@@ -27,9 +29,9 @@
 
   @Test
   void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "real")));
-    Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
-    assertTrue(Rehearsal.hold(config, 200, 60_000, folder) > 100);
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
+    NodeConfig config = NodeConfig.parse(config(member("s-0", server.address(), "Ready", 0)));
+    assertTrue(WarmUp.hold(config, 200, 60_000, folder) > 100);
     assertNull(server.seen.poll());
     assertNull(counter.seen.poll());
     assertNull(discovery.seen.poll());
@@ -38,10 +40,10 @@
 
   @Test
   void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
-    Config config = Config.parse(config());
-    Rehearsal.hold(config, Integer.MAX_VALUE, 1, folder);
+    NodeConfig config = NodeConfig.parse(config());
+    WarmUp.hold(config, Integer.MAX_VALUE, 1, folder);
     assertEquals(0, left());
-    assertEquals(0, Rehearsal.hold(config, 1, 60_000, folder.resolve("none")));
+    assertEquals(0, WarmUp.hold(config, 1, 60_000, folder.resolve("none")));
   }
 
   /**
@@ -50,7 +52,7 @@
    */
   @Test
   void theProgramRehearsesBeforeItServes() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "real")));
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
     Path file = folder.resolve("config.json");
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
     ProcessBuilder builder =
@@ -58,7 +60,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                "merlinrouter.node.Main",
+                "merlinrouter.Main",
                 "serve")
             .redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
--- a/src/test/java/merlinrouter/node/ServerStartTimesTest.java
+++ b/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
@@ -1,15 +1,16 @@
-package merlinrouter.node;
+package merlinrouter.node.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import merlinrouter.node.logging.NodeLog;
 import org.junit.jupiter.api.Test;
 
 /** Starts on the monotonic clock; all figures are seconds times {@link #S}. */
-class ServerStartTimesTest {
+class EndpointStartTimesTest {
   private static final long S = 1_000_000_000L;
   private static final long SLOW_START = 10 * S;
 
-  private final ServerStartTimes times = new ServerStartTimes(SLOW_START, NodeLog.silent());
+  private final EndpointStartTimes times = new EndpointStartTimes(SLOW_START, NodeLog.silent());
 
   private long told(long monotonic, long wall, long startedAtWall) {
     times.look(monotonic * S, wall * S);
