--- /dev/null
+++ b/src/main/java/merlinrouter/control/ConcurrencyLimiter.java
@@ -0,0 +1,46 @@
+package merlinrouter.control;
+
+import merlinrouter.time.EventClock;
+
+/**
+ * Holds the number of attempts in flight below the concurrency level. A level below 1 is kept on
+ * average: after an attempt the limiter pauses, since hundreds of gateways with one attempt in
+ * flight each may be too many for a small fleet of endpoints.
+ */
+public final class ConcurrencyLimiter {
+  private final ConcurrencyController controller;
+  private final EventClock clock;
+  private int inFlight;
+  private long pausedUntilNanos;
+
+  /** Creates a limiter with nothing in flight. */
+  public ConcurrencyLimiter(ConcurrencyController controller, EventClock clock) {
+    this.controller = controller;
+    this.clock = clock;
+  }
+
+  /** Whether another first attempt may start now. */
+  public boolean permitsAttempt() {
+    return inFlight < controller.level() && clock.nowNanos() >= pausedUntilNanos;
+  }
+
+  /** Whether as many attempts are in flight as the level allows, or more. */
+  public boolean isSaturated() {
+    return inFlight >= controller.level();
+  }
+
+  /** Counts an attempt that starts. */
+  public void attemptStarted() {
+    inFlight++;
+    if (isSaturated()) {
+      controller.markSaturated();
+    }
+  }
+
+  /** Counts an attempt that ended after some time, in nanoseconds. */
+  public void attemptEnded(long durationNanos) {
+    inFlight--;
+    double pausePerWork = Math.max(0, 1 / controller.level() - 1);
+    pausedUntilNanos = clock.nowNanos() + (long) (durationNanos * pausePerWork);
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/gateway/RequestDispatcher.java
@@ -0,0 +1,208 @@
+package merlinrouter.gateway;
+
+import java.util.HashMap;
+import java.util.Map;
+import merlinrouter.control.ConcurrencyController;
+import merlinrouter.control.ConcurrencyLimiter;
+import merlinrouter.loadbalancing.EndpointTracker;
+import merlinrouter.loadbalancing.LoadBalancer;
+import merlinrouter.model.Endpoint;
+import merlinrouter.queue.ClassQueue;
+import merlinrouter.queue.FairQueue;
+import merlinrouter.queue.LoadShedder;
+import merlinrouter.retry.DeadlinePolicy;
+import merlinrouter.retry.RetryAfter;
+import merlinrouter.retry.RetryBudget;
+import merlinrouter.retry.RetryPolicy;
+import merlinrouter.settings.GatewaySettings;
+import merlinrouter.settings.RequestClass;
+import merlinrouter.time.EventClock;
+
+/**
+ * Moves admitted requests through their queue and their attempts to their final response, and holds
+ * the requests that are open.
+ */
+final class RequestDispatcher {
+  private final GatewayActions actions;
+  private final EventClock clock;
+  private final FairQueue<PendingRequest> fairQueue;
+  private final ConcurrencyController concurrencyController;
+  private final ConcurrencyLimiter concurrencyLimiter;
+  private final LoadShedder<PendingRequest> loadShedder;
+  private final LoadBalancer loadBalancer;
+  private final RetryBudget retryBudget = new RetryBudget();
+  private final RetryPolicy retryPolicy;
+  private final RetryAfter retryAfter;
+  private final DeadlinePolicy deadlinePolicy;
+  private final Map<String, PendingRequest> requestsById = new HashMap<>();
+
+  /**
+   * Creates a dispatcher without requests.
+   *
+   * @param timerIntervalNanos how often {@link #giveUpExpired} is called
+   */
+  RequestDispatcher(
+      GatewaySettings settings,
+      GatewayActions actions,
+      EventClock clock,
+      FairQueue<PendingRequest> fairQueue,
+      ConcurrencyController concurrencyController,
+      LoadBalancer loadBalancer,
+      long timerIntervalNanos) {
+    this.actions = actions;
+    this.clock = clock;
+    this.fairQueue = fairQueue;
+    this.concurrencyController = concurrencyController;
+    this.loadBalancer = loadBalancer;
+    concurrencyLimiter = new ConcurrencyLimiter(concurrencyController, clock);
+    loadShedder = new LoadShedder<>(fairQueue, concurrencyController, concurrencyLimiter);
+    retryPolicy = new RetryPolicy(settings.limits(), retryBudget, clock, timerIntervalNanos);
+    retryAfter = new RetryAfter(settings.limits());
+    deadlinePolicy = new DeadlinePolicy(settings, clock, timerIntervalNanos);
+  }
+
+  /** Returns an open request; null if none has this id. */
+  PendingRequest get(String requestId) {
+    return requestsById.get(requestId);
+  }
+
+  /** Takes in a request that arrived. */
+  void add(PendingRequest pending) {
+    requestsById.put(pending.id(), pending);
+  }
+
+  /** Queues an admitted request; sheds load where the queue grows too long. */
+  void enqueue(PendingRequest pending) {
+    pending.transitionTo(RequestState.QUEUED);
+    pending.queue().add(pending);
+    PendingRequest excess = loadShedder.pollExcess(pending.queue());
+    while (excess != null) {
+      giveUp(excess);
+      excess = loadShedder.pollExcess(pending.queue());
+    }
+    Endpoint toCheck = loadBalancer.chooseForHealthCheck(pending);
+    if (toCheck != null) {
+      actions.startHealthCheck(toCheck.id());
+    }
+  }
+
+  /** Gives up queued requests that have waited too long; a later one may expire first. */
+  void giveUpExpired() {
+    for (ClassQueue<PendingRequest> queue : fairQueue.queues()) {
+      if (queue.isEmpty()) {
+        continue;
+      }
+      for (PendingRequest pending : queue.snapshot()) {
+        if (cannotMeetObjective(pending)) {
+          queue.remove(pending);
+          giveUp(pending);
+        }
+      }
+    }
+  }
+
+  /** Whether a request cannot be attempted any more and be answered within its objective. */
+  boolean cannotMeetObjective(PendingRequest pending) {
+    return deadlinePolicy.cannotMeetObjective(
+        pending.objectiveAtNanos(), pending.attempts() == 0, pending.expectedServiceSeconds());
+  }
+
+  /** Starts attempts of queued requests while the concurrency level permits. */
+  void dispatchQueued() {
+    while (concurrencyLimiter.permitsAttempt()) {
+      ClassQueue<PendingRequest> queue = fairQueue.next();
+      if (queue == null) {
+        return;
+      }
+      PendingRequest pending = queue.firstStartable();
+      if (cannotMeetObjective(pending)) {
+        queue.remove(pending);
+        giveUp(pending);
+        continue;
+      }
+      EndpointTracker endpoint = chooseEndpoint(pending);
+      if (endpoint == null) {
+        return;
+      }
+      fairQueue.release(queue, pending);
+      startAttempt(pending, endpoint);
+    }
+  }
+
+  private EndpointTracker chooseEndpoint(PendingRequest pending) {
+    RequestClass requestClass = pending.requestClass();
+    if (!pending.history().isBoundToScope(requestClass)) {
+      return loadBalancer.choose(pending);
+    }
+    return loadBalancer.chooseAmong(
+        pending, endpoint -> pending.history().isInScope(requestClass, endpoint));
+  }
+
+  private void startAttempt(PendingRequest pending, EndpointTracker endpoint) {
+    if (pending.attempts() == 0) {
+      retryBudget.firstAttemptStarted();
+    }
+    pending.reservation().markForwarded();
+    pending.attemptStarted(endpoint, clock.nowNanos());
+    loadBalancer.attemptStarted(endpoint, pending);
+    concurrencyLimiter.attemptStarted();
+    long timeoutNanos =
+        deadlinePolicy.attemptTimeoutNanos(
+            pending.requestClass(), pending.objectiveAtNanos(), pending.request().deadlineNanos());
+    actions.startAttempt(pending.id(), endpoint.endpoint().id(), timeoutNanos);
+  }
+
+  /** Starts another attempt after one that failed, or sends the final response. */
+  void retryOrGiveUp(PendingRequest pending, boolean previousNotExecuted) {
+    boolean mayRetry =
+        retryPolicy.mayRetry(
+            pending.requestClass(),
+            pending.history(),
+            pending.attempts(),
+            pending.objectiveAtNanos(),
+            pending.statistics().meanServiceSeconds(),
+            previousNotExecuted);
+    EndpointTracker endpoint = mayRetry ? chooseEndpoint(pending) : null;
+    if (endpoint == null) {
+      giveUp(pending);
+    } else {
+      retryBudget.retryStarted(previousNotExecuted);
+      startAttempt(pending, endpoint);
+    }
+  }
+
+  /** Notes that an attempt is not in flight any more. */
+  void attemptEnded(long durationNanos) {
+    concurrencyLimiter.attemptEnded(durationNanos);
+  }
+
+  /** Rejects a request whose quota is used up for some seconds. */
+  void reject(PendingRequest pending, double retryAfterSeconds) {
+    actions.reject(pending.id(), retryAfter.nanos(retryAfterSeconds));
+    finish(pending);
+  }
+
+  /** Sends the final response of a request that is not served: rejected if that is true. */
+  void giveUp(PendingRequest pending) {
+    if (RetryPolicy.mayReject(pending.requestClass(), pending.history())) {
+      actions.reject(pending.id(), retryAfter.nanos(queueDrainSeconds(pending)));
+    } else {
+      actions.fail(pending.id());
+    }
+    finish(pending);
+  }
+
+  /** When, by Little's law, what is queued now will have been sent. */
+  private double queueDrainSeconds(PendingRequest pending) {
+    double queuedPerLevel = pending.queue().size() / concurrencyController.level();
+    return pending.statistics().meanServiceSeconds() * (1 + queuedPerLevel);
+  }
+
+  /** Ends a request that is owed nothing more. */
+  void finish(PendingRequest pending) {
+    if (requestsById.remove(pending.id()) != null) {
+      pending.transitionTo(RequestState.FINISHED);
+      pending.reservation().release();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/loadbalancing/GroupStatistics.java
@@ -0,0 +1,44 @@
+package merlinrouter.loadbalancing;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Mean latency by machine type and mean error rate by zone. A gateway that hears little of a single
+ * endpoint goes by what it hears of others like it.
+ */
+final class GroupStatistics {
+  /** Weight of an attempt, divided by the number of endpoints. */
+  private static final double SAMPLE_WEIGHT = 2 * EndpointTracker.LATENCY_SAMPLE_WEIGHT;
+
+  /** Latency of a machine type without attempts, relative to the expected service time. */
+  private static final double INITIAL_RELATIVE_LATENCY = 1;
+
+  private final Map<Integer, Double> relativeLatencyByMachineType = new HashMap<>();
+  private final Map<Integer, Double> errorRateByZone = new HashMap<>();
+
+  /**
+   * Adds an attempt.
+   *
+   * @param relativeLatency its duration relative to the expected service time
+   * @param error 0 for a success, up to 1 for an error
+   * @param endpointCount how many endpoints are ready
+   */
+  void recordAttempt(
+      int machineType, int zone, double relativeLatency, double error, int endpointCount) {
+    double weight = SAMPLE_WEIGHT / Math.max(1, endpointCount);
+    relativeLatencyByMachineType.merge(
+        machineType, relativeLatency, (mean, sample) -> mean + weight * (sample - mean));
+    errorRateByZone.merge(zone, weight * error, (mean, first) -> mean + weight * (error - mean));
+  }
+
+  /** Mean latency of a machine type, relative to the expected service time. */
+  double relativeLatency(int machineType) {
+    return relativeLatencyByMachineType.getOrDefault(machineType, INITIAL_RELATIVE_LATENCY);
+  }
+
+  /** Mean error rate of a zone, 0 to 1. */
+  double errorRate(int zone) {
+    return errorRateByZone.getOrDefault(zone, 0.0);
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/quota/CounterHealth.java
@@ -0,0 +1,42 @@
+package merlinrouter.quota;
+
+import merlinrouter.time.EventClock;
+import merlinrouter.time.Nanos;
+
+/** Tells whether the shared counter has stopped answering. */
+final class CounterHealth {
+  /** The counter is silent after this long without an answer ... */
+  private static final long SILENT_AFTER_NANOS = Nanos.PER_SECOND / 2;
+
+  /** ... and as many calls in a row without one: fewer may be an accident. */
+  private static final int SILENT_AFTER_CALLS = 3;
+
+  private final EventClock clock;
+  private long answeredAtNanos;
+  private int unansweredCalls;
+  private boolean silent;
+
+  CounterHealth(EventClock clock) {
+    this.clock = clock;
+    answeredAtNanos = clock.nowNanos();
+  }
+
+  /** Notes the end of a call; returns whether the counter fell silent or answers again by it. */
+  boolean recordCall(boolean answered) {
+    if (answered) {
+      answeredAtNanos = clock.nowNanos();
+      unansweredCalls = 0;
+    } else {
+      unansweredCalls++;
+    }
+    boolean wasSilent = silent;
+    silent =
+        unansweredCalls >= SILENT_AFTER_CALLS
+            && clock.nanosSince(answeredAtNanos) > SILENT_AFTER_NANOS;
+    return silent != wasSilent;
+  }
+
+  boolean isSilent() {
+    return silent;
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -0,0 +1,213 @@
+package merlinrouter.quota;
+
+import merlinrouter.settings.QuotaPlan;
+import merlinrouter.time.EventClock;
+import merlinrouter.time.Nanos;
+
+/**
+ * What is left of a customer's quota over the whole fleet, as this gateway estimates it: a token
+ * bucket from which both its own use and the projected use of the other gateways are taken. Totals
+ * of the shared counter correct the projection.
+ *
+ * <p>The counter counts in windows: each window of a customer has a counter of its own, so that a
+ * total covers recent use only.
+ */
+final class FleetQuotaEstimate {
+  /** Bounds on a window: the time in which a full burst refills, within these. */
+  private static final long MIN_WINDOW_SECONDS = 1;
+
+  private static final long MAX_WINDOW_SECONDS = 30;
+
+  /** Time constant of the estimate of the others' rate, in seconds. */
+  private static final double OTHERS_RATE_TIME_CONSTANT_SECONDS = 3;
+
+  /** Shorter times between two totals say too little of a rate. */
+  private static final double MIN_RATE_SECONDS = 0.05;
+
+  /** The others' rate is taken to be at most this many times the quota's rate. */
+  private static final double MAX_OTHERS_RATE_FACTOR = 2;
+
+  /** The reported fraction is not taken to be lower than this. */
+  private static final double MIN_REPORTED_FRACTION = 0.1;
+
+  /** A total below the own use by more than this shows that the counter lost counts. */
+  private static final double ROUNDING_UNITS = 1e-3;
+
+  private final QuotaPlan plan;
+  private final int gateways;
+  private final double maxRequestUnits;
+  private final EventClock clock;
+  private final long windowNanos;
+  private final long windowPhaseNanos;
+  private long window = Long.MIN_VALUE;
+  private double ownWindowUnits;
+  private double othersWindowUnits;
+  private double availableUnits;
+  private double othersUnitsPerSecond;
+  private double projectedOthersUnits;
+  private long totalAtNanos;
+  private boolean stale;
+
+  /**
+   * Creates an estimate of a full quota.
+   *
+   * @param spreadKey a number by which customers' windows begin at different moments
+   */
+  FleetQuotaEstimate(
+      QuotaPlan plan, int gateways, double maxRequestUnits, long spreadKey, EventClock clock) {
+    this.plan = plan;
+    this.gateways = gateways;
+    this.maxRequestUnits = maxRequestUnits;
+    this.clock = clock;
+    availableUnits = plan.burstUnits();
+    double refillSeconds =
+        plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 1;
+    // In this time a steady customer is given just one burst, so that the window's total alone
+    // informs a gateway that never heard of the customer.
+    windowNanos =
+        (long)
+            (Math.min(MAX_WINDOW_SECONDS, Math.max(MIN_WINDOW_SECONDS, refillSeconds))
+                * Nanos.PER_SECOND);
+    windowPhaseNanos = Math.floorMod(spreadKey, windowNanos);
+    totalAtNanos = clock.nowNanos() - 2 * windowNanos;
+  }
+
+  /** Lets time pass: the quota refills, and the others are projected to go on as before. */
+  void refill(double seconds) {
+    double others = seconds * projectedOthersRate();
+    projectedOthersUnits += others;
+    availableUnits =
+        Math.min(plan.burstUnits(), availableUnits + seconds * plan.unitsPerSecond() - others);
+  }
+
+  /** Without recent totals the others are taken to use their equal parts of the rate. */
+  private double projectedOthersRate() {
+    double max = plan.unitsPerSecond() * (stale ? 1 - 1.0 / gateways : 1);
+    return Math.min(max, stale ? plan.unitsPerSecond() : othersUnitsPerSecond);
+  }
+
+  /** Takes units of own use; negative units are given back. */
+  void take(double units) {
+    availableUnits -= units;
+  }
+
+  /** Enters the counter's present window and returns its number. */
+  long enterCurrentWindow() {
+    long current = Math.floorDiv(clock.nowNanos() + windowPhaseNanos, windowNanos);
+    if (current != window) {
+      ownWindowUnits = 0;
+      othersWindowUnits = 0;
+    }
+    window = current;
+    return current;
+  }
+
+  /** Whether a window is the one that was entered last. */
+  boolean isCurrentWindow(long number) {
+    return number == window;
+  }
+
+  /** Notes own units that the counter has added to the present window, or may have added. */
+  void recordOwnReported(double units) {
+    ownWindowUnits += units;
+  }
+
+  /**
+   * Corrects the estimate by a total of the present window.
+   *
+   * @param reportedNow the units that were reported with the call that returned the total
+   * @param total the counter's total, in units
+   * @param unreportedUnits own use that has not been reported
+   * @param reportedFraction the reported part of the use; the others' is taken to be as ours
+   */
+  void learnTotal(
+      double reportedNow, double total, double unreportedUnits, double reportedFraction) {
+    double othersTotal = othersTotal(reportedNow, total);
+    if (clock.nanosSince(totalAtNanos) > windowNanos) {
+      // The estimate is too old: a full quota less this window's use is the better one.
+      availableUnits = plan.burstUnits() - ownWindowUnits - unreportedUnits;
+      projectedOthersUnits = 0;
+    }
+    double usedByOthers =
+        (othersTotal - othersWindowUnits)
+            / Math.min(1, Math.max(MIN_REPORTED_FRACTION, reportedFraction));
+    othersWindowUnits = othersTotal;
+    stale = false;
+    learnOthersRate(usedByOthers);
+    // What was forwarded beyond the quota took nothing from it, so it is not far below zero.
+    availableUnits =
+        Math.max(
+            Math.min(plan.burstUnits(), availableUnits - usedByOthers + projectedOthersUnits),
+            -maxRequestUnits);
+    projectedOthersUnits = 0;
+  }
+
+  /** The others' part of a total; after a loss of counts only what has been added since. */
+  private double othersTotal(double reportedNow, double total) {
+    double others = total - ownWindowUnits;
+    boolean countsLost =
+        others < -ROUNDING_UNITS || others < othersWindowUnits - plan.burstUnits() / 2;
+    if (!countsLost) {
+      return others;
+    }
+    ownWindowUnits = reportedNow;
+    othersWindowUnits = 0;
+    return Math.max(0, total - reportedNow);
+  }
+
+  private void learnOthersRate(double usedByOthers) {
+    long windowStartNanos = window * windowNanos - windowPhaseNanos;
+    double seconds =
+        Math.max(MIN_RATE_SECONDS, clock.secondsSince(Math.max(totalAtNanos, windowStartNanos)));
+    totalAtNanos = clock.nowNanos();
+    double rate =
+        Math.max(
+            0, Math.min(usedByOthers / seconds, MAX_OTHERS_RATE_FACTOR * plan.unitsPerSecond()));
+    double weight = 1 - Math.exp(-seconds / OTHERS_RATE_TIME_CONSTANT_SECONDS);
+    othersUnitsPerSecond += weight * (rate - othersUnitsPerSecond);
+  }
+
+  /**
+   * Divides the quota among the gateways where the last total is too old. The part is at least one
+   * request, since a smaller part would reject all customers who come rarely.
+   */
+  void divideIfStale() {
+    if (gateways <= 1 || clock.nanosSince(totalAtNanos) <= windowNanos) {
+      return;
+    }
+    if (!stale && availableUnits > 0) {
+      availableUnits =
+          Math.max(availableUnits / gateways, Math.min(availableUnits, maxRequestUnits));
+    }
+    stale = true;
+  }
+
+  /** Whether the quota was divided for want of a recent total. */
+  boolean isStale() {
+    return stale;
+  }
+
+  /** Whether a total is old enough that another one is worth asking for. */
+  boolean needsTotal() {
+    return clock.nanosSince(totalAtNanos) > windowNanos / 4;
+  }
+
+  double availableUnits() {
+    return availableUnits;
+  }
+
+  /** The others' projected use in a time, in units. */
+  double projectedOthersUnits(long nanos) {
+    return othersUnitsPerSecond * nanos * Nanos.IN_SECONDS;
+  }
+
+  /** When the last total was learnt. */
+  long totalAtNanos() {
+    return totalAtNanos;
+  }
+
+  /** The length of a window. */
+  long windowNanos() {
+    return windowNanos;
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/retry/DeadlinePolicy.java
@@ -0,0 +1,52 @@
+package merlinrouter.retry;
+
+import merlinrouter.settings.GatewaySettings;
+import merlinrouter.settings.RequestClass;
+import merlinrouter.time.EventClock;
+import merlinrouter.time.Nanos;
+
+/**
+ * The time limits of a request: when it is too late to be sent, and how long an attempt may take.
+ */
+public final class DeadlinePolicy {
+  /** A first attempt needs up to this many times its expected service time. */
+  private static final double SERVICE_TIME_MARGIN = 1.5;
+
+  private static final long MIN_ATTEMPT_TIMEOUT_NANOS = Nanos.PER_MILLI;
+
+  private final EventClock clock;
+  private final long minNeededNanos;
+
+  /**
+   * Creates a policy.
+   *
+   * @param timerIntervalNanos how often queued requests are looked at; a request that expires
+   *     between two looks has to be answered at the first
+   */
+  public DeadlinePolicy(GatewaySettings settings, EventClock clock, long timerIntervalNanos) {
+    this.clock = clock;
+    minNeededNanos = 2 * timerIntervalNanos + settings.eventIntervalNanos();
+  }
+
+  /**
+   * Whether a request cannot be sent any more and be answered within its objective.
+   *
+   * @param objectiveAtNanos moment up to which a response earns the full value
+   * @param firstAttempt whether it has not been attempted yet
+   * @param expectedServiceSeconds expected service time of a first attempt
+   */
+  public boolean cannotMeetObjective(
+      long objectiveAtNanos, boolean firstAttempt, double expectedServiceSeconds) {
+    long serviceNanos =
+        firstAttempt ? (long) (SERVICE_TIME_MARGIN * expectedServiceSeconds * Nanos.PER_SECOND) : 0;
+    return clock.nowNanos() + Math.max(serviceNanos, minNeededNanos) >= objectiveAtNanos;
+  }
+
+  /** How long an attempt may take: no longer than a response is worth something. */
+  public long attemptTimeoutNanos(
+      RequestClass requestClass, long objectiveAtNanos, long deadlineNanos) {
+    boolean lateIsWorthless = requestClass.lateValueFraction() <= 0;
+    long untilNanos = lateIsWorthless ? objectiveAtNanos : deadlineNanos;
+    return Math.max(MIN_ATTEMPT_TIMEOUT_NANOS, untilNanos - clock.nowNanos());
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/stats/package-info.java
@@ -0,0 +1,2 @@
+/** Measurements of request classes that the decision modules share. */
+package merlinrouter.stats;
--- a/src/test/java/merlinrouter/ArchitectureTest.java
+++ b/src/test/java/merlinrouter/ArchitectureTest.java
@@ -1,6 +1,7 @@
 package merlinrouter;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ImportOption;
@@ -33,4 +34,26 @@
         .resideInAnyPackage("merlinrouter.node..", "io.netty..")
         .check(classes);
   }
+
+  @ArchTest
+  void decisionModulesAreFreeOfCycles(JavaClasses classes) {
+    slices().matching("merlinrouter.(*)..").should().beFreeOfCycles().check(classes);
+  }
+
+  @ArchTest
+  void modulesDoNotDependOnTheGatewayThatAsksThem(JavaClasses classes) {
+    noClasses()
+        .that()
+        .resideInAnyPackage(
+            "merlinrouter.control..",
+            "merlinrouter.loadbalancing..",
+            "merlinrouter.queue..",
+            "merlinrouter.quota..",
+            "merlinrouter.retry..",
+            "merlinrouter.stats..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAPackage("merlinrouter.gateway..")
+        .check(classes);
+  }
 }
