--- a/emulator/src/test/java/merlinrouter/emulator/SystemCallFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/SystemCallFaultTest.java
@@ -165,7 +165,7 @@
       assertServed(exchange(client(node), RequestClass.TRANSFER));
       String log = node.process().logText();
       assertFalse(
-          log.contains("shunned: s-"),
+          log.contains("endpoint is an outlier: s-"),
           error + ", the node's own failure, was taken for its server's: " + log);
     }
   }
