--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -29,6 +29,8 @@
 import merlinrouter.node.discovery.EndpointStartTimes;
 import merlinrouter.node.downstream.ClientListener;
 import merlinrouter.node.downstream.MemoryBudget;
+import merlinrouter.node.downstream.RequestHandler;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.InvariantGuard;
 import merlinrouter.node.request.OpenRequest;
@@ -41,7 +43,7 @@
  * back. All of it runs on one event loop thread, so nothing here is locked and the module's
  * contract of one caller holds.
  */
-public final class EdgeNode implements GatewayActions, AutoCloseable {
+public final class EdgeNode implements GatewayActions, RequestHandler, AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -155,10 +157,12 @@
     return loop;
   }
 
+  @Override
   public InvariantGuard guard() {
     return guard;
   }
 
+  @Override
   public NodeLog log() {
     return log;
   }
@@ -233,16 +237,16 @@
   }
 
   long now() {
-    return at(System.nanoTime());
+    return toGatewayTime(System.nanoTime());
   }
 
-  /** A moment of the system's clock that never jumps, by the module's. */
-  public long at(long nanoTime) {
+  @Override
+  public long toGatewayTime(long nanoTime) {
     return nanoTime + clockOffset;
   }
 
-  /** Whatever a socket brings now came after this moment, however long the loop was held since. */
-  public long lookedBefore() {
+  @Override
+  public long previousPollNanos() {
     return looks.before();
   }
 
@@ -261,7 +265,7 @@
       call.accept(eventAt);
     } catch (RuntimeException e) {
       // One request's trouble must not end the process, nor leave that request without an answer.
-      trouble("the module failed", e);
+      ErrorLog.report("the module failed", e);
       if (about != null) {
         fail(about);
         // The module must not go on counting it; an attempt that is out still ends.
@@ -273,8 +277,7 @@
   }
 
   public static void trouble(String what, Throwable e) {
-    StackTraceElement[] at = e.getStackTrace();
-    System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
+    ErrorLog.report(what, e);
   }
 
   /** The list of app servers, or changes to it. */
@@ -310,18 +313,19 @@
   /**
    * Whether discovery has been heard, or has been silent for so long that the known list must do.
    */
-  public boolean ready() {
+  @Override
+  public boolean isReady() {
     return discovery.heard();
   }
 
-  /** The deadline that the module is told, for a client that waits {@code span} from now. */
+  @Override
   public long deadline(long now, long span) {
     long margin = Math.max(WAY_OUT, Math.min((long) (HELD / config.cores()), span / MARGIN_PART));
     return now + Math.max(MS, span - margin);
   }
 
-  /** Takes a request; false if its id is that of one still open. */
-  public boolean take(OpenRequest taken) {
+  @Override
+  public boolean accept(OpenRequest taken) {
     if (open.putIfAbsent(taken.request.id(), taken) != null) {
       return false;
     }
@@ -344,8 +348,8 @@
     }
   }
 
-  /** The client left before its answer. */
-  public void clientGone(OpenRequest gone) {
+  @Override
+  public void clientDisconnected(OpenRequest gone) {
     if (gone.answerOnce() != null) {
       log.count(NodeLog.Event.CLIENT_LEFT);
       settle(gone);
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -44,10 +44,10 @@
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.ClientRequest;
 import merlinrouter.model.Idempotency;
-import merlinrouter.node.EdgeNode;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.BodyAccumulator;
 import merlinrouter.node.http.StrictDecimal;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.OpenRequest;
 import merlinrouter.node.transport.Transport;
@@ -85,7 +85,7 @@
   /** A bind that fails is tried again after so long, and for so long: a restart is owed in 10 s. */
   private static final long BIND_PAUSE = 50 * MS, BIND_PATIENCE = 3_000 * MS;
 
-  private final EdgeNode node;
+  private final RequestHandler handler;
   private final EventLoop loop;
   private final NodeConfig config;
   private final MemoryBudget budget;
@@ -97,8 +97,9 @@
   private boolean draining;
   private CompletableFuture<Void> drained;
 
-  public ClientListener(EdgeNode node, EventLoop loop, NodeConfig config, MemoryBudget budget) {
-    this.node = node;
+  public ClientListener(
+      RequestHandler handler, EventLoop loop, NodeConfig config, MemoryBudget budget) {
+    this.handler = handler;
     this.budget = budget;
     this.loop = loop;
     this.config = config;
@@ -123,7 +124,7 @@
   }
 
   private void bind(CompletableFuture<Void> bound) {
-    acceptThrottle = new AcceptThrottle(node.log(), node::lookedBefore);
+    acceptThrottle = new AcceptThrottle(handler.log(), handler::previousPollNanos);
     Transport.listening(loop, config.listen())
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .childOption(
@@ -315,7 +316,7 @@
             requestClass,
             plan,
             customer(headers),
-            node.deadline(node.at(came), span * MS),
+            handler.deadline(handler.toGatewayTime(came), span * MS),
             units(quota.get("units")),
             (int) whole(quota.get("spread"), "X-Quota spread", 1, siblings),
             (int) whole(quota.get("first"), "X-Quota first", 0, siblings - 1L),
@@ -511,8 +512,8 @@
 
     /** Closes the connection unasked, which must not cost a request its answer. */
     private void end(String why) {
-      if (node.guard().mayClose(current, why)) {
-        node.log().count(NodeLog.Event.IDLE_CLOSED);
+      if (handler.guard().mayClose(current, why)) {
+        handler.log().count(NodeLog.Event.IDLE_CLOSED);
         closing = true;
         channel.close();
       }
@@ -545,7 +546,7 @@
     /** The earliest moment at which what is read now may have come. */
     private long earliest() {
       // What a client sends right behind its connect may have waited as long as that.
-      return unread || !asked && !begun ? seenAt : node.lookedBefore();
+      return unread || !asked && !begun ? seenAt : handler.previousPollNanos();
     }
 
     /**
@@ -598,7 +599,7 @@
       try {
         OpenRequest taken = read(whole, decoder.wholeAt(), content, new Reply());
         current = taken;
-        if (!node.take(taken)) {
+        if (!handler.accept(taken)) {
           current = null;
           throw new Refusal(HttpResponseStatus.CONFLICT, "a request of this id is open");
         }
@@ -613,7 +614,7 @@
         refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
       } else {
         write(
-            node.ready() && !draining
+            handler.isReady() && !draining
                 ? HttpResponseStatus.OK
                 : HttpResponseStatus.SERVICE_UNAVAILABLE,
             Unpooled.EMPTY_BUFFER,
@@ -623,7 +624,7 @@
 
     /** Turns away what is no request. Nothing behind it is read: it may be a part of it. */
     private void refuse(HttpResponseStatus status, String why) {
-      node.log().count(NodeLog.Event.BAD_REQUEST);
+      handler.log().count(NodeLog.Event.BAD_REQUEST);
       keepAlive = false;
       head = null;
       body.take().release();
@@ -689,7 +690,7 @@
       current = null;
       closing = true;
       if (left != null) {
-        node.clientGone(left);
+        handler.clientDisconnected(left);
       }
       finishDrain();
     }
@@ -697,7 +698,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-        EdgeNode.trouble("a client's connection", cause);
+        ErrorLog.report("a client's connection", cause);
       }
       channel.close();
     }
--- a/src/test/java/merlinrouter/node/RaceConditionTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -130,7 +130,7 @@
     CompletableFuture<String> answer = new CompletableFuture<>();
     ClientRequest request =
         new ClientRequest(id, 1, 0, 7, node.deadline(node.now(), 20_000_000_000L), 1, 1, 0, false);
-    node.take(
+    node.accept(
         new OpenRequest(
             request,
             HttpMethod.POST,
