--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -150,7 +150,7 @@
 
   /** How many clients' connections are open. */
   int connections() throws Exception {
-    return clients.connections();
+    return clients.connectionCount();
   }
 
   public EventLoop loop() {
@@ -169,7 +169,7 @@
 
   /** How many bytes clients' requests hold. */
   long held() {
-    return budget.used();
+    return budget.usedBytes();
   }
 
   /**
@@ -177,11 +177,11 @@
    * listens.
    */
   int unread() {
-    return clients.unread();
+    return clients.readingPausedCount();
   }
 
   boolean listens() {
-    return clients.listens();
+    return clients.isListening();
   }
 
   UpstreamPool pool() {
@@ -220,7 +220,7 @@
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.execute(
         () -> {
-          long grace = clients.closeAfterAnswers() ? DRAIN_GRACE : 0;
+          long grace = clients.startDraining() ? DRAIN_GRACE : 0;
           // The second task comes after one more look at the sockets: who came before the first is
           // let in.
           loop.schedule(
--- a/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
+++ b/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
@@ -13,109 +13,109 @@
  * Pauses and resumes accepting, and knows since when a connection that is accepted now may have
  * waited for it.
  *
- * <p>Behind a failed accept the library's own handler stops for a second, in which the requests of
- * all who have connected run out of time. The pause here only keeps a lasting failure, such as a
- * full table of descriptors, from taking all of the event loop. Used on the event loop only.
+ * <p>It replaces the handling of failed accepts in Netty's {@code ServerBootstrap}, which stops
+ * accepting for a second: requests of all clients that have connected would run out of time.
  */
-public final class AcceptThrottle extends ChannelInboundHandlerAdapter {
-  /** Small against the least time that a client waits. */
-  private static final long PAUSE_MS = 10;
+final class AcceptThrottle extends ChannelInboundHandlerAdapter {
+  /**
+   * Keeps a lasting failure, such as a full descriptor table, from occupying the event loop, and is
+   * short against the shortest timeout of a client.
+   */
+  private static final long FAILURE_PAUSE_MS = 10;
 
   private final NodeLog log;
-  private final LongSupplier lookedBefore;
-  private boolean failing;
+  private final LongSupplier previousPollNanos;
+  private boolean failed;
   private boolean paused;
-  private long pausedAt;
-  private int acceptedInThisLook;
+  private long pausedSinceNanos;
+  private int acceptedInThisPoll;
   private boolean acceptedSinceResume;
 
   /**
-   * {@code lookedBefore} tells when the event loop last looked at its sockets before the present
-   * look.
+   * Creates a throttle that does not pause accepting.
+   *
+   * @param previousPollNanos when the event loop polled its sockets before the present poll
    */
-  AcceptThrottle(NodeLog log, LongSupplier lookedBefore) {
+  AcceptThrottle(NodeLog log, LongSupplier previousPollNanos) {
     this.log = log;
-    this.lookedBefore = lookedBefore;
+    this.previousPollNanos = previousPollNanos;
   }
 
-  /** Whether the last accept failed and has not been tried again. */
-  boolean isFailing() {
-    return failing;
+  /** Whether the last accept failed and has not been retried. */
+  boolean hasFailed() {
+    return failed;
   }
 
-  /** The earliest moment at which a connection that is accepted now may have begun to wait. */
-  long waitingSince() {
-    long before = lookedBefore.getAsLong();
-    return paused && pausedAt - before < 0 ? pausedAt : before;
+  /** The earliest moment at which a connection that is accepted now may have started to wait. */
+  long waitingSinceNanos() {
+    long previousPoll = previousPollNanos.getAsLong();
+    return paused && pausedSinceNanos - previousPoll < 0 ? pausedSinceNanos : previousPoll;
   }
 
-  /** Accepts nobody until {@link #resume}; whoever connects after {@code since} waits. */
-  void pause(Channel listening, long since) {
+  /** Stops accepting until {@link #resume}: connections that arrive after {@code since} wait. */
+  void pause(Channel listeningChannel, long sinceNanos) {
     if (!paused) {
       paused = true;
-      pausedAt = since;
+      pausedSinceNanos = sinceNanos;
     }
-    listening.config().setAutoRead(false);
+    listeningChannel.config().setAutoRead(false);
   }
 
-  /** Goes on accepting. */
-  void resume(Channel listening) {
-    if (listening.config().isAutoRead()) {
+  /** Goes on accepting, if paused. */
+  void resume(Channel listeningChannel) {
+    if (listeningChannel.config().isAutoRead()) {
       return;
     }
     acceptedSinceResume = false;
-    listening.config().setAutoRead(true);
-    // By the second turn the loop has looked at its sockets: where nobody was accepted, nobody had
-    // waited.
-    EventLoop loop = listening.eventLoop();
+    listeningChannel.config().setAutoRead(true);
+    // The second task runs after a poll: if that accepted no connection, none had waited.
+    EventLoop loop = listeningChannel.eventLoop();
     loop.schedule(
-        () ->
-            loop.schedule(
-                () -> {
-                  if (!acceptedSinceResume && listening.config().isAutoRead()) {
-                    paused = false;
-                  }
-                },
-                0,
-                TimeUnit.NANOSECONDS),
+        () -> loop.schedule(() -> endPauseIfNoneWaited(listeningChannel), 0, TimeUnit.NANOSECONDS),
         0,
         TimeUnit.NANOSECONDS);
   }
 
+  private void endPauseIfNoneWaited(Channel listeningChannel) {
+    if (!acceptedSinceResume && listeningChannel.config().isAutoRead()) {
+      paused = false;
+    }
+  }
+
   @Override
   public void channelRead(ChannelHandlerContext context, Object accepted) {
-    acceptedInThisLook++;
+    acceptedInThisPoll++;
     acceptedSinceResume = true;
     context.fireChannelRead(accepted);
   }
 
-  /** A look that takes in fewer than it may has taken in all who waited. */
+  /** A poll that accepts fewer connections than it may has accepted all that waited. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    MaxMessagesRecvByteBufAllocator look = context.channel().config().getRecvByteBufAllocator();
-    if (acceptedInThisLook > 0
-        && acceptedInThisLook < look.maxMessagesPerRead()
+    MaxMessagesRecvByteBufAllocator allocator =
+        context.channel().config().getRecvByteBufAllocator();
+    if (acceptedInThisPoll > 0
+        && acceptedInThisPoll < allocator.maxMessagesPerRead()
         && context.channel().config().isAutoRead()) {
       paused = false;
     }
-    acceptedInThisLook = 0;
+    acceptedInThisPoll = 0;
     context.fireChannelReadComplete();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     log.count(NodeLog.Event.ACCEPT_FAILED);
-    failing = true;
-    Channel listening = context.channel();
-    pause(listening, lookedBefore.getAsLong());
-    listening
+    failed = true;
+    Channel listeningChannel = context.channel();
+    pause(listeningChannel, previousPollNanos.getAsLong());
+    listeningChannel
         .eventLoop()
-        .schedule(
-            () -> {
-              failing = false;
-              resume(listening);
-            },
-            PAUSE_MS,
-            TimeUnit.MILLISECONDS);
+        .schedule(() -> retry(listeningChannel), FAILURE_PAUSE_MS, TimeUnit.MILLISECONDS);
+  }
+
+  private void retry(Channel listeningChannel) {
+    failed = false;
+    resume(listeningChannel);
   }
 }
--- /dev/null
+++ b/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
@@ -0,0 +1,62 @@
+package merlinrouter.node.downstream;
+
+import java.util.ArrayDeque;
+
+/**
+ * Remembers when the bytes of a connection that wait to be decoded arrived: time passes for a
+ * pipelined request too. Byte offsets count from the connection's first byte.
+ */
+final class ArrivalTimes {
+  /** Reads closer together than this count as one, which arrived at its earliest moment. */
+  private static final long MERGE_INTERVAL_NANOS = 10_000_000L;
+
+  /** Further reads are merged into the last one. */
+  private static final int MAX_READS = 64;
+
+  /** A read, or several merged ones. */
+  private static final class Read {
+    private long endOffset;
+    private final long arrivedNanos;
+
+    Read(long endOffset, long arrivedNanos) {
+      this.endOffset = endOffset;
+      this.arrivedNanos = arrivedNanos;
+    }
+  }
+
+  private final ArrayDeque<Read> reads = new ArrayDeque<>();
+  private long receivedBytes;
+
+  /** Adds bytes that were read. */
+  void add(int bytes, long arrivedNanos) {
+    receivedBytes += bytes;
+    Read last = reads.peekLast();
+    boolean merge =
+        last != null
+            && (arrivedNanos - last.arrivedNanos < MERGE_INTERVAL_NANOS
+                || reads.size() >= MAX_READS);
+    if (merge) {
+      last.endOffset = receivedBytes;
+    } else {
+      reads.add(new Read(receivedBytes, arrivedNanos));
+    }
+  }
+
+  /**
+   * Forgets bytes that were decoded. At least one byte must have been waiting before.
+   *
+   * @param waitingBytes how many of the received bytes still wait
+   * @return the earliest moment at which the last decoded byte may have arrived
+   */
+  long decodedUpTo(int waitingBytes) {
+    long decodedOffset = receivedBytes - waitingBytes;
+    while (reads.size() > 1 && reads.peek().endOffset < decodedOffset) {
+      reads.poll();
+    }
+    Read lastDecoded = reads.peek();
+    if (lastDecoded.endOffset == decodedOffset) {
+      reads.poll();
+    }
+    return lastDecoded.arrivedNanos;
+  }
+}
--- a/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
+++ b/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
@@ -1,33 +1,43 @@
 package merlinrouter.node.downstream;
 
 /**
- * The bytes that clients' requests may hold over all connections together: each connection's own
- * bound does not keep a thousand of them from outgrowing the memory.
+ * Limits the bytes that requests hold over all connections together: the limits of each connection
+ * alone would not keep a thousand of them from exhausting the memory.
  */
 public final class MemoryBudget {
-  /** Usual requests are small. They have the last quarter to themselves. */
-  private static final int SMALL = 4 * 1024;
+  /** Requests up to this size, which most are, may also use the last quarter. */
+  private static final int SMALL_REQUEST_BYTES = 4 * 1024;
 
-  private static final long LEAST = 1L << 20, MOST = 8L << 20;
+  private static final int MEMORY_FRACTION = 16;
+  private static final long MIN_BUDGET_BYTES = 1L << 20;
+  private static final long MAX_BUDGET_BYTES = 8L << 20;
 
-  private final long most;
-  private long used;
+  private final long maxBytes;
+  private long usedBytes;
 
-  /** A sixteenth of the memory, within bounds. */
-  public MemoryBudget(long memory) {
-    most = Math.max(LEAST, Math.min(MOST, memory / 16));
+  /**
+   * Creates a budget of a sixteenth of the memory, within bounds.
+   *
+   * @param memoryBytes what the process may use
+   */
+  public MemoryBudget(long memoryBytes) {
+    maxBytes =
+        Math.max(MIN_BUDGET_BYTES, Math.min(MAX_BUDGET_BYTES, memoryBytes / MEMORY_FRACTION));
   }
 
-  /** Whether a request that holds, or will hold, so much may go on growing. */
-  public boolean allows(long size) {
-    return used < (size > SMALL ? most / 4 * 3 : most);
+  /** Whether a request that holds, or will hold, so many bytes may go on growing. */
+  public boolean allows(long requestBytes) {
+    long limit = requestBytes > SMALL_REQUEST_BYTES ? maxBytes / 4 * 3 : maxBytes;
+    return usedBytes < limit;
   }
 
-  public void change(long by) {
-    used += by;
+  /** Adds bytes that are now held, or, if negative, released. */
+  public void change(long deltaBytes) {
+    usedBytes += deltaBytes;
   }
 
-  public long used() {
-    return used;
+  /** How many bytes are held. */
+  public long usedBytes() {
+    return usedBytes;
   }
 }
--- a/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
@@ -5,49 +5,33 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.LastHttpContent;
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.function.LongSupplier;
 
 /**
- * The codec's decoder, which stops behind each request until it is told to go on. Requests that
- * were all decoded as they came would wait as objects many times their size, and what stands behind
- * a refused one is not to be read at all.
+ * Netty's request decoder, but it pauses behind each request until {@link #resume}. Decoded
+ * pipelined requests would take many times the memory of their bytes, and nothing behind a rejected
+ * request may be decoded at all.
  */
-public final class RequestDecoder extends HttpRequestDecoder {
-  /**
-   * Reads so close together count as one, and so many wait at most; each stands for its earliest
-   * moment.
-   */
-  private static final long CLOSE = 10_000_000L;
-
-  private static final int MOST_READS = 64;
-
-  /** Up to which of the connection's bytes a read went, and when these may have come. */
-  private static final class Read {
-    private long upTo;
-    private final long at;
-
-    Read(long upTo, long at) {
-      this.upTo = upTo;
-      this.at = at;
-    }
-  }
-
-  private final Runnable arrived;
-  private final LongSupplier earliest;
-  private final ArrayDeque<Read> reads = new ArrayDeque<>();
-  private long came, wholeAt;
+final class RequestDecoder extends HttpRequestDecoder {
+  private final Runnable readListener;
+  private final LongSupplier earliestArrivalNanos;
+  private final ArrivalTimes arrivalTimes = new ArrivalTimes();
+  private long requestArrivedNanos;
   private ChannelHandlerContext context;
-  private boolean paused, stopped;
+  private boolean paused;
+  private boolean stopped;
 
   /**
-   * {@code arrived} hears of each read, when all that may be decoded has been; {@code earliest}
-   * tells when what is read now may have come.
+   * Creates a decoder.
+   *
+   * @param readListener called after each read, when all that may be decoded has been
+   * @param earliestArrivalNanos the earliest moment at which bytes that are read now may have
+   *     arrived
    */
-  RequestDecoder(Runnable arrived, LongSupplier earliest) {
-    this.arrived = arrived;
-    this.earliest = earliest;
+  RequestDecoder(Runnable readListener, LongSupplier earliestArrivalNanos) {
+    this.readListener = readListener;
+    this.earliestArrivalNanos = earliestArrivalNanos;
   }
 
   @Override
@@ -56,78 +40,63 @@
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext at, Object input) throws Exception {
+  public void channelRead(ChannelHandlerContext readContext, Object input) throws Exception {
     if (input instanceof ByteBuf bytes && bytes.isReadable()) {
-      note(bytes.readableBytes());
+      arrivalTimes.add(bytes.readableBytes(), earliestArrivalNanos.getAsLong());
     }
-    super.channelRead(at, input);
-    arrived.run();
-  }
-
-  /** A request that waits behind another has come all the same, and its time goes by. */
-  private void note(int bytes) {
-    long now = earliest.getAsLong();
-    came += bytes;
-    Read last = reads.peekLast();
-    if (last != null && (now - last.at < CLOSE || reads.size() >= MOST_READS)) {
-      last.upTo = came;
-    } else {
-      reads.add(new Read(came, now));
-    }
-  }
-
-  /** When the last byte of the request decoded last may have come, at the earliest. */
-  long wholeAt() {
-    return wholeAt;
+    super.channelRead(readContext, input);
+    readListener.run();
   }
 
   /**
-   * The codec's own would read on, unasked, wherever reading has been turned off and nothing was
-   * decoded.
+   * The superclass would read on whenever auto-read is off and nothing was decoded; here the
+   * connection decides alone.
    */
   @Override
-  public void channelReadComplete(ChannelHandlerContext at) {
+  public void channelReadComplete(ChannelHandlerContext readContext) {
     discardSomeReadBytes();
-    at.fireChannelReadComplete();
+    readContext.fireChannelReadComplete();
   }
 
   @Override
-  protected void decode(ChannelHandlerContext at, ByteBuf in, List<Object> out) throws Exception {
+  protected void decode(ChannelHandlerContext decodeContext, ByteBuf input, List<Object> output)
+      throws Exception {
     if (stopped) {
-      in.skipBytes(in.readableBytes());
+      input.skipBytes(input.readableBytes());
     } else if (!paused) {
-      super.decode(at, in, out);
-      paused = !out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent;
-      long decoded = came - in.readableBytes();
-      while (reads.size() > 1 && reads.peek().upTo < decoded) {
-        reads.poll();
-      }
-      wholeAt = paused ? reads.peek().at : wholeAt;
-      if (reads.peek().upTo == decoded) {
-        reads.poll();
+      super.decode(decodeContext, input, output);
+      paused = !output.isEmpty() && output.get(output.size() - 1) instanceof LastHttpContent;
+      long lastByteArrivedNanos = arrivalTimes.decodedUpTo(input.readableBytes());
+      if (paused) {
+        requestArrivedNanos = lastByteArrivedNanos;
       }
     }
   }
 
-  /** Bytes that came and were not decoded yet. */
-  int held() {
+  /** The earliest moment at which the last byte of the last decoded request may have arrived. */
+  long requestArrivedNanos() {
+    return requestArrivedNanos;
+  }
+
+  /** How many received bytes are not decoded yet. */
+  int undecodedBytes() {
     return actualReadableBytes();
   }
 
-  /** Whether what comes now waits undecoded. */
+  /** Whether bytes that are received now wait undecoded. */
   boolean isPaused() {
     return paused;
   }
 
-  /** Goes on with what came meanwhile. */
+  /** Goes on decoding behind the last request. */
   void resume() throws Exception {
     paused = false;
-    if (held() > 0) {
+    if (undecodedBytes() > 0) {
       channelRead(context, Unpooled.EMPTY_BUFFER);
     }
   }
 
-  /** Nothing more is wanted: what still comes is dropped unread. */
+  /** Drops all further bytes undecoded. */
   void stop() {
     stopped = true;
   }
--- /dev/null
+++ b/src/main/java/merlinrouter/node/downstream/RequestParser.java
@@ -0,0 +1,139 @@
+package merlinrouter.node.downstream;
+
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.cookie.Cookie;
+import io.netty.handler.codec.http.cookie.ServerCookieDecoder;
+import java.util.List;
+import java.util.function.LongBinaryOperator;
+import merlinrouter.model.ClientRequest;
+import merlinrouter.model.Idempotency;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.settings.GatewaySettings;
+import merlinrouter.settings.RequestClass;
+
+/** Parses and validates the head of a request. Has no state of its own. */
+final class RequestParser {
+  private static final int HEXADECIMAL = 16;
+  private static final long NANOS_PER_MS = 1_000_000L;
+
+  /** A client may wait for at most this many times its class's deadline. */
+  private static final int MAX_TIMEOUT_FACTOR = 2;
+
+  private final List<String> requestClassNames;
+  private final List<String> quotaPlanNames;
+  private final GatewaySettings settings;
+  private final LongBinaryOperator deadline;
+
+  /**
+   * Creates a parser.
+   *
+   * @param deadline computes a request's deadline as {@link RequestHandler#deadline} does
+   */
+  RequestParser(NodeConfig config, LongBinaryOperator deadline) {
+    this.requestClassNames = config.names().classes();
+    this.quotaPlanNames = config.names().plans();
+    this.settings = config.settings();
+    this.deadline = deadline;
+  }
+
+  /**
+   * Parses a request.
+   *
+   * @param arrivedAt when it arrived, by the gateway's clock, in nanoseconds
+   * @throws InvalidRequestException for the first thing that is wrong with it
+   */
+  ParsedRequest parse(HttpRequest head, long arrivedAt) throws InvalidRequestException {
+    String uri = head.uri();
+    if (!uri.equals(ClientProtocol.API_PATH) && !uri.startsWith(ClientProtocol.API_PATH + "?")) {
+      throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
+    }
+    HttpHeaders headers = head.headers();
+    String id = HeaderValues.requiredToken(headers, ClientProtocol.REQUEST_ID);
+    int classIndex = indexOf(requestClassNames, headers, ClientProtocol.REQUEST_CLASS);
+    int planIndex = indexOf(quotaPlanNames, headers, ClientProtocol.QUOTA_PLAN);
+    RequestClass requestClass = settings.requestClasses().get(classIndex);
+    HttpMethod method = checkMethod(head.method(), requestClass);
+    String idempotencyKey = idempotencyKey(headers, requestClass);
+    long timeoutNanos = timeoutNanos(headers, requestClass);
+    QuotaHeader quota = QuotaHeader.parse(HeaderValues.required(headers, ClientProtocol.QUOTA));
+    ClientRequest request =
+        new ClientRequest(
+            id,
+            classIndex,
+            planIndex,
+            customer(headers),
+            deadline.applyAsLong(arrivedAt, timeoutNanos),
+            quota.units(settings.counter().maxRequestUnits()),
+            quota.gatewaySpread(settings.gatewayCount()),
+            quota.firstGateway(settings.gatewayCount()),
+            ClientProtocol.RETRY_TRUE.equals(headers.get(ClientProtocol.RETRY)));
+    return new ParsedRequest(request, method, uri, idempotencyKey);
+  }
+
+  private static int indexOf(List<String> names, HttpHeaders headers, String header)
+      throws InvalidRequestException {
+    int index = names.indexOf(HeaderValues.required(headers, header));
+    if (index < 0) {
+      throw InvalidRequestException.badRequest(header + " is unknown");
+    }
+    return index;
+  }
+
+  private static HttpMethod checkMethod(HttpMethod method, RequestClass requestClass)
+      throws InvalidRequestException {
+    HttpMethod expected =
+        requestClass.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+    if (!method.equals(expected)) {
+      throw new InvalidRequestException(
+          HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + expected);
+    }
+    return expected;
+  }
+
+  /** The key, which a class may require; null if there is none. */
+  private static String idempotencyKey(HttpHeaders headers, RequestClass requestClass)
+      throws InvalidRequestException {
+    String key = HeaderValues.optional(headers, ClientProtocol.IDEMPOTENCY_KEY);
+    if (key != null || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+      HeaderValues.requiredToken(headers, ClientProtocol.IDEMPOTENCY_KEY);
+    }
+    return key;
+  }
+
+  /** The client's timeout; a longer one than its class allows would only keep the request open. */
+  private static long timeoutNanos(HttpHeaders headers, RequestClass requestClass)
+      throws InvalidRequestException {
+    long timeoutMs =
+        HeaderValues.wholeNumber(
+            HeaderValues.required(headers, ClientProtocol.TIMEOUT_MS),
+            ClientProtocol.TIMEOUT_MS,
+            1,
+            MAX_TIMEOUT_FACTOR * requestClass.deadlineNanos() / NANOS_PER_MS);
+    return timeoutMs * NANOS_PER_MS;
+  }
+
+  private static long customer(HttpHeaders headers) throws InvalidRequestException {
+    String cookies = HeaderValues.required(headers, ClientProtocol.COOKIE);
+    String digits = null;
+    for (Cookie cookie : ServerCookieDecoder.LAX.decodeAll(cookies)) {
+      if (cookie.name().equals(ClientProtocol.CUSTOMER_COOKIE)) {
+        if (digits != null) {
+          throw InvalidRequestException.badRequest("the cookie names two customers");
+        }
+        digits = cookie.value();
+      }
+    }
+    if (digits != null
+        && digits.length() == ClientProtocol.CUSTOMER_HEX_DIGITS
+        && HeaderValues.hasOnlyDigits(digits, HEXADECIMAL)) {
+      long customer = Long.parseUnsignedLong(digits, HEXADECIMAL);
+      if (customer >= 0 && customer < ClientProtocol.CUSTOMER_LIMIT) {
+        return customer;
+      }
+    }
+    throw InvalidRequestException.badRequest("the cookie names no customer");
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/downstream/ResponseWriter.java
@@ -0,0 +1,60 @@
+package merlinrouter.node.downstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import java.math.BigDecimal;
+
+/** Writes responses to one connection. */
+final class ResponseWriter {
+  private static final long NANOS_PER_MS = 1_000_000L;
+
+  /** Retry-After is written in seconds with this many decimal places, that is in milliseconds. */
+  private static final int RETRY_AFTER_SCALE = 3;
+
+  private final Channel channel;
+
+  ResponseWriter(Channel channel) {
+    this.channel = channel;
+  }
+
+  /**
+   * Writes and flushes a final response. The connection is closed if that fails.
+   *
+   * @param content the body; it is released once written
+   * @param retryAfterNanos when the client may retry, from now, rounded up; 0 for no such header
+   * @param close whether to announce that the connection closes, and close it behind the response
+   */
+  void write(HttpResponseStatus status, ByteBuf content, long retryAfterNanos, boolean close) {
+    DefaultFullHttpResponse response =
+        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+    if (retryAfterNanos > 0) {
+      response.headers().set(HttpHeaderNames.RETRY_AFTER, toSeconds(retryAfterNanos));
+    }
+    if (close) {
+      response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    }
+    channel
+        .writeAndFlush(response)
+        .addListener(close ? ChannelFutureListener.CLOSE : ChannelFutureListener.CLOSE_ON_FAILURE);
+  }
+
+  /** Tells the client to send the body that it announced. */
+  void writeContinue() {
+    channel.writeAndFlush(
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+  }
+
+  private static String toSeconds(long nanos) {
+    long millis = (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS;
+    return BigDecimal.valueOf(millis, RETRY_AFTER_SCALE).toPlainString();
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
@@ -0,0 +1,31 @@
+package merlinrouter.node.downstream;
+
+/** A client connection as {@link ConnectionRegistry} sees it. */
+interface TrackedConnection {
+  /** Whether it closes behind its last response, or is closed. */
+  boolean isClosing();
+
+  /** Whether a request on it waits for its response. */
+  boolean hasOpenRequest();
+
+  /** Whether it has ever received a whole request. */
+  boolean hasReceivedRequest();
+
+  /** Whether no request is open on it, nor received in part. */
+  boolean isBetweenRequests();
+
+  /** When the request that is being received started, or else when the connection fell idle. */
+  long stateSinceNanos();
+
+  /** Whether it is not read from at present. */
+  boolean isReadingPaused();
+
+  /** Closes it if it has been idle, or has been receiving one request, for too long. */
+  void enforceTimeouts();
+
+  /**
+   * Closes it without being asked to. Does nothing, apart from counting a violation, if a request
+   * is open on it.
+   */
+  void closeIdle(String reason);
+}
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -191,7 +191,7 @@
     budget.change(300_000);
     assertFalse(budget.allows(200));
     budget.change(-1_100_000);
-    assertEquals(0, budget.used());
+    assertEquals(0, budget.usedBytes());
   }
 
   /** Clients that keep a connection after one request once left the others none. */
