--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -1,6 +1,5 @@
 package merlinrouter.node;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -26,13 +25,17 @@
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.counter.CounterClient;
 import merlinrouter.node.discovery.DiscoveryClient;
+import merlinrouter.node.discovery.EndpointListListener;
 import merlinrouter.node.discovery.EndpointStartTimes;
 import merlinrouter.node.downstream.ClientListener;
 import merlinrouter.node.downstream.MemoryBudget;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.InvariantGuard;
 import merlinrouter.node.request.OpenRequest;
 import merlinrouter.node.transport.PollTimestamps;
+import merlinrouter.node.upstream.AttemptListener;
+import merlinrouter.node.upstream.CompletedAttempt;
 import merlinrouter.node.upstream.UpstreamPool;
 import merlinrouter.settings.RequestClass;
 
@@ -41,7 +44,8 @@
  * back. All of it runs on one event loop thread, so nothing here is locked and the module's
  * contract of one caller holds.
  */
-public final class EdgeNode implements GatewayActions, AutoCloseable {
+public final class EdgeNode
+    implements GatewayActions, AttemptListener, EndpointListListener, AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -108,9 +112,9 @@
     guard = new InvariantGuard(log);
     budget = new MemoryBudget(config.memory());
     startTimes = new EndpointStartTimes(config.settings().rules().slowStartDurationNanos(), log);
-    pool = new UpstreamPool(this, loop, config);
+    pool = new UpstreamPool(this, loop, config, log);
     counter = new CounterClient(this::counted, loop, config);
-    discovery = new DiscoveryClient(this, loop, config);
+    discovery = new DiscoveryClient(this, loop, config, log);
     clients = new ClientListener(this, loop, config, budget);
   }
 
@@ -121,7 +125,7 @@
               gateway = new Gateway(config.settings(), config.seed(), now(), this);
               loop.scheduleAtFixedRate(
                   this::housekeeping, CLOCK_LOOK, CLOCK_LOOK, TimeUnit.NANOSECONDS);
-              list(config.known(), EndpointUpdateType.CACHED);
+              endpointsUpdated(config.known(), EndpointUpdateType.CACHED);
               discovery.start(config.known().revision());
               if (early != null) {
                 move(early);
@@ -261,7 +265,7 @@
       call.accept(eventAt);
     } catch (RuntimeException e) {
       // One request's trouble must not end the process, nor leave that request without an answer.
-      trouble("the module failed", e);
+      ErrorLog.report("the module failed", e);
       if (about != null) {
         fail(about);
         // The module must not go on counting it; an attempt that is out still ends.
@@ -273,12 +277,12 @@
   }
 
   public static void trouble(String what, Throwable e) {
-    StackTraceElement[] at = e.getStackTrace();
-    System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
+    ErrorLog.report(what, e);
   }
 
   /** The list of app servers, or changes to it. */
-  public void list(NodeConfig.Roll roll, EndpointUpdateType kind) {
+  @Override
+  public void endpointsUpdated(NodeConfig.Roll roll, EndpointUpdateType kind) {
     List<Endpoint> told = pool.update(withMonotonicStarts(roll), kind != EndpointUpdateType.DELTA);
     event(null, now -> gateway.endpointsUpdated(now, kind, told));
   }
@@ -354,15 +358,18 @@
   }
 
   /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
-  public void attemptEnded(
-      OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
+  @Override
+  public void attemptEnded(CompletedAttempt ended) {
+    OpenRequest of = ended.request();
+    Outcome outcome = ended.outcome();
+    long took = ended.durationNanos();
     of.attemptOut = false;
     guard.attemptEnded(of, outcome, now() - took);
     int attempt = of.attempts - 1;
     if (outcome == Outcome.OK) {
       OpenRequest.Answers answers = of.answerOnce();
       if (answers != null) {
-        answers.served(body);
+        answers.served(ended.body());
       }
     }
     boolean complete = of.answered;
@@ -372,7 +379,14 @@
             gateway.attemptEnded(
                 now,
                 new AttemptResult(
-                    of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
+                    of.request.id(),
+                    outcome,
+                    took,
+                    ended.endpointId(),
+                    complete,
+                    attempt,
+                    ended.chargedUnits(),
+                    List.of())));
     settle(of);
   }
 
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -29,8 +29,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.EndpointUpdateType;
-import merlinrouter.node.EdgeNode;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
 
@@ -75,7 +75,8 @@
 
   private static final long PATIENCE_MS = 1_000;
 
-  private final EdgeNode node;
+  private final EndpointListListener listener;
+  private final NodeLog log;
   private final EventLoop loop;
   private final NodeConfig.Names names;
   private final Bootstrap bootstrap;
@@ -94,8 +95,10 @@
   private boolean heard;
   private int opened;
 
-  public DiscoveryClient(EdgeNode node, EventLoop loop, NodeConfig config) {
-    this.node = node;
+  public DiscoveryClient(
+      EndpointListListener listener, EventLoop loop, NodeConfig config, NodeLog log) {
+    this.listener = listener;
+    this.log = log;
     this.loop = loop;
     names = config.names();
     address = config.discovery();
@@ -170,7 +173,7 @@
     }
     ChannelFuture connecting = bootstrap.connect(address);
     if (!Transport.hasChannel(connecting)) {
-      node.log().count(NodeLog.Event.LOCAL_CONNECT_FAILED);
+      log.count(NodeLog.Event.LOCAL_CONNECT_FAILED);
       watchAfter(FIRST_BACKOFF_MS);
       return;
     }
@@ -292,7 +295,7 @@
       // What could not be read may be a megabyte of noise.
       boolean noise =
           cause instanceof DecoderException && !(cause.getCause() instanceof NodeConfig.Invalid);
-      EdgeNode.trouble("discovery", noise ? new NodeConfig.Invalid("what came is no list") : cause);
+      ErrorLog.report("discovery", noise ? new NodeConfig.Invalid("what came is no list") : cause);
     }
     context.close();
   }
@@ -317,7 +320,8 @@
         return;
       }
       NodeConfig.Roll roll = NodeConfig.roll(text.toString(StandardCharsets.UTF_8), names);
-      node.list(roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
+      listener.endpointsUpdated(
+          roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
       revision = roll.revision();
       heard = true;
       backoff = FIRST_BACKOFF_MS;
--- a/src/main/java/merlinrouter/node/http/ResponseHandler.java
+++ b/src/main/java/merlinrouter/node/http/ResponseHandler.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
-import merlinrouter.node.EdgeNode;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.transport.TcpChannel;
 
 /**
@@ -146,7 +146,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-      EdgeNode.trouble("an answer", cause);
+      ErrorLog.report("an answer", cause);
     }
     spoil();
   }
--- /dev/null
+++ b/src/main/java/merlinrouter/node/upstream/AttemptListener.java
@@ -0,0 +1,10 @@
+package merlinrouter.node.upstream;
+
+/** Is notified of the ends of attempts. */
+public interface AttemptListener {
+  /**
+   * An attempt has ended; called on the event loop, exactly once for each attempt, never from
+   * within the call that started it.
+   */
+  void attemptEnded(CompletedAttempt attempt);
+}
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -29,7 +29,6 @@
 import merlinrouter.model.Endpoint;
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.Outcome;
-import merlinrouter.node.EdgeNode;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
@@ -61,7 +60,7 @@
   /** Between two tries of what failed in this process: short against a connect's time-out. */
   private static final long LOCAL_RETRY = 5 * MS;
 
-  private final EdgeNode node;
+  private final AttemptListener listener;
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final NodeLog log;
@@ -79,10 +78,10 @@
   private final double mostUnits;
   private int connections;
 
-  public UpstreamPool(EdgeNode node, EventLoop loop, NodeConfig config) {
-    this.node = node;
+  public UpstreamPool(AttemptListener listener, EventLoop loop, NodeConfig config, NodeLog log) {
+    this.listener = listener;
     this.loop = loop;
-    log = node.log();
+    this.log = log;
     connectTimeout = Math.max(MS, config.connectTimeout());
     // Well before the app server does: a request written to a connection that it closes ends as a
     // reset.
@@ -359,7 +358,8 @@
       if (on != null) {
         on.attempt = null;
       }
-      node.attemptEnded(of, outcome, System.nanoTime() - sentAt, server, units, body);
+      listener.attemptEnded(
+          new CompletedAttempt(of, server, outcome, System.nanoTime() - sentAt, units, body));
     }
 
     FullHttpRequest message() {
