--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -29,6 +29,7 @@
 import merlinrouter.node.discovery.EndpointStartTimes;
 import merlinrouter.node.downstream.ClientListener;
 import merlinrouter.node.downstream.MemoryBudget;
+import merlinrouter.node.downstream.RequestHandler;
 import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.InvariantGuard;
@@ -45,7 +46,11 @@
  * contract of one caller holds.
  */
 public final class EdgeNode
-    implements GatewayActions, AttemptListener, EndpointListListener, AutoCloseable {
+    implements GatewayActions,
+        RequestHandler,
+        AttemptListener,
+        EndpointListListener,
+        AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -159,10 +164,12 @@
     return loop;
   }
 
+  @Override
   public InvariantGuard guard() {
     return guard;
   }
 
+  @Override
   public NodeLog log() {
     return log;
   }
@@ -237,16 +244,16 @@
   }
 
   long now() {
-    return at(System.nanoTime());
+    return toGatewayTime(System.nanoTime());
   }
 
-  /** A moment of the system's clock that never jumps, by the module's. */
-  public long at(long nanoTime) {
+  @Override
+  public long toGatewayTime(long nanoTime) {
     return nanoTime + clockOffset;
   }
 
-  /** Whatever a socket brings now came after this moment, however long the loop was held since. */
-  public long lookedBefore() {
+  @Override
+  public long previousPollNanos() {
     return looks.before();
   }
 
@@ -314,18 +321,19 @@
   /**
    * Whether discovery has been heard, or has been silent for so long that the known list must do.
    */
-  public boolean ready() {
+  @Override
+  public boolean isReady() {
     return discovery.heard();
   }
 
-  /** The deadline that the module is told, for a client that waits {@code span} from now. */
+  @Override
   public long deadline(long now, long span) {
     long margin = Math.max(WAY_OUT, Math.min((long) (HELD / config.cores()), span / MARGIN_PART));
     return now + Math.max(MS, span - margin);
   }
 
-  /** Takes a request; false if its id is that of one still open. */
-  public boolean take(OpenRequest taken) {
+  @Override
+  public boolean accept(OpenRequest taken) {
     if (open.putIfAbsent(taken.request.id(), taken) != null) {
       return false;
     }
@@ -348,8 +356,8 @@
     }
   }
 
-  /** The client left before its answer. */
-  public void clientGone(OpenRequest gone) {
+  @Override
+  public void clientDisconnected(OpenRequest gone) {
     if (gone.answerOnce() != null) {
       log.count(NodeLog.Event.CLIENT_LEFT);
       settle(gone);
--- a/src/main/java/merlinrouter/node/logging/ErrorLog.java
+++ b/src/main/java/merlinrouter/node/logging/ErrorLog.java
@@ -1,18 +1,17 @@
 package merlinrouter.node.logging;
 
-/** Reports unexpected errors on the standard error stream, one line each. */
+/** Reports unexpected errors on the standard error stream, one line each. Safe on any thread. */
 public final class ErrorLog {
   private ErrorLog() {}
 
   /**
-   * Writes one line that names the error and the place where it was thrown. May be called on any
-   * thread.
+   * Reports an error.
    *
-   * @param context what the program was doing
-   * @param cause the error
+   * @param context what failed
+   * @param cause the error; only its first stack frame is written
    */
   public static void report(String context, Throwable cause) {
-    StackTraceElement[] trace = cause.getStackTrace();
-    System.err.println(context + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+    StackTraceElement[] frames = cause.getStackTrace();
+    System.err.println(context + ": " + cause + (frames.length > 0 ? " at " + frames[0] : ""));
   }
 }
