--- a/src/main/java/merlinrouter/Main.java
+++ b/src/main/java/merlinrouter/Main.java
@@ -10,7 +10,8 @@
 import java.util.logging.Logger;
 import merlinrouter.node.EdgeNode;
 import merlinrouter.node.config.ConfigFile;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.InvalidConfigException;
+import merlinrouter.node.config.UnreadableConfigException;
 import merlinrouter.node.logging.SingleLineFormatter;
 import merlinrouter.node.warmup.WarmUp;
 import merlinrouter.simulator.SimulatorAdapter;
@@ -81,7 +82,7 @@
       }
       node.start();
       System.out.println("serving on " + node.address());
-    } catch (NodeConfig.Invalid | NodeConfig.Unreadable e) {
+    } catch (InvalidConfigException | UnreadableConfigException e) {
       exit(1, e.getMessage());
     } catch (Exception e) {
       exit(1, "cannot start: " + e.getMessage());
@@ -102,7 +103,7 @@
     try {
       // One at a time: signals may follow each other faster than the file is read.
       synchronized (node) {
-        node.reload(configuration.readAgain());
+        node.reload(configuration.reload());
       }
       System.out.println("configuration read again");
     } catch (Exception e) {
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -23,6 +23,8 @@
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.config.EndpointEntry;
+import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.counter.CounterClient;
 import merlinrouter.node.discovery.DiscoveryClient;
@@ -106,7 +108,7 @@
     this.config = config;
     this.log = log;
     guard = new InvariantGuard(log);
-    budget = new MemoryBudget(config.memory());
+    budget = new MemoryBudget(config.memoryLimitBytes());
     startTimes = new EndpointStartTimes(config.settings().rules().slowStartDurationNanos(), log);
     pool = new UpstreamPool(this, loop, config);
     counter = new CounterClient(this::counted, loop, config);
@@ -121,8 +123,8 @@
               gateway = new Gateway(config.settings(), config.seed(), now(), this);
               loop.scheduleAtFixedRate(
                   this::housekeeping, CLOCK_LOOK, CLOCK_LOOK, TimeUnit.NANOSECONDS);
-              list(config.known(), EndpointUpdateType.CACHED);
-              discovery.start(config.known().revision());
+              list(config.knownEndpoints(), EndpointUpdateType.CACHED);
+              discovery.start(config.knownEndpoints().revision());
               if (early != null) {
                 move(early);
               }
@@ -278,21 +280,21 @@
   }
 
   /** The list of app servers, or changes to it. */
-  public void list(NodeConfig.Roll roll, EndpointUpdateType kind) {
+  public void list(EndpointList roll, EndpointUpdateType kind) {
     List<Endpoint> told = pool.update(withMonotonicStarts(roll), kind != EndpointUpdateType.DELTA);
     event(null, now -> gateway.endpointsUpdated(now, kind, told));
   }
 
-  private NodeConfig.Roll withMonotonicStarts(NodeConfig.Roll roll) {
+  private EndpointList withMonotonicStarts(EndpointList roll) {
     lookAtClocks();
     long now = now();
-    List<NodeConfig.Member> members = new ArrayList<>();
+    List<EndpointEntry> members = new ArrayList<>();
     Set<String> named = new HashSet<>();
-    for (NodeConfig.Member member : roll.members()) {
-      Endpoint server = member.server();
+    for (EndpointEntry member : roll.entries()) {
+      Endpoint server = member.endpoint();
       named.add(server.id());
       long started = startTimes.momentOf(server.id(), server.startedAtNanos(), now);
-      members.add(new NodeConfig.Member(server.withStartedAtNanos(started), member.address()));
+      members.add(new EndpointEntry(server.withStartedAtNanos(started), member.address()));
       if (server.state() == EndpointState.REMOVED) {
         startTimes.forget(server.id());
       }
@@ -300,7 +302,7 @@
     if (roll.complete()) {
       startTimes.retain(named);
     }
-    return new NodeConfig.Roll(roll.revision(), roll.complete(), members);
+    return new EndpointList(roll.revision(), roll.complete(), members);
   }
 
   private void lookAtClocks() {
--- a/src/main/java/merlinrouter/node/config/ConfigFile.java
+++ b/src/main/java/merlinrouter/node/config/ConfigFile.java
@@ -4,55 +4,60 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The configuration file, read again where that fails for a moment: the process may be out of
- * descriptors, the disk may fail a read, and whoever replaces the file may not have written all of
- * it yet.
+ * The configuration file, read again where that fails for a moment: the process may be out of file
+ * descriptors, the disk may fail a read, and a replacement of the file may not be complete yet.
  */
 public final class ConfigFile {
-  private static final long PAUSE_MS = 50;
+  private static final long RETRY_PAUSE_MILLIS = 50;
 
-  /** Short against the 4 s after which a hang-up counts as obeyed. */
-  private static final long PATIENCE_MS = 1_000;
+  /** Short against the 4 s within which a reload is due. */
+  private static final long RETRY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final Path path;
 
+  /** Reads nothing yet. */
   public ConfigFile(Path path) {
     this.path = path;
   }
 
-  /** Reads the file for a start. What is bad in it is told at once. */
-  public NodeConfig read() throws NodeConfig.Invalid, NodeConfig.Unreadable, InterruptedException {
-    long begun = System.nanoTime();
+  /**
+   * Reads the file for a start. Blocks for up to a second while the file cannot be read.
+   *
+   * @throws InvalidConfigException at once if what the file holds cannot be used
+   */
+  public NodeConfig read()
+      throws InvalidConfigException, UnreadableConfigException, InterruptedException {
+    long startedAt = System.nanoTime();
     while (true) {
       try {
-        return NodeConfig.read(path);
-      } catch (NodeConfig.Unreadable e) {
-        pauseOrThrow(e, begun);
+        return NodeConfigReader.read(path);
+      } catch (UnreadableConfigException e) {
+        pauseOrThrow(e, startedAt);
       }
     }
   }
 
   /**
-   * Reads the file while the node serves: it may be replaced at the same moment, so what is bad in
-   * it may change.
+   * Reads the file while the node serves. It may be replaced at the same moment, so invalid content
+   * is read again too.
    */
-  public NodeConfig readAgain()
-      throws NodeConfig.Invalid, NodeConfig.Unreadable, InterruptedException {
-    long begun = System.nanoTime();
+  public NodeConfig reload()
+      throws InvalidConfigException, UnreadableConfigException, InterruptedException {
+    long startedAt = System.nanoTime();
     while (true) {
       try {
         return read();
-      } catch (NodeConfig.Invalid e) {
-        pauseOrThrow(e, begun);
+      } catch (InvalidConfigException e) {
+        pauseOrThrow(e, startedAt);
       }
     }
   }
 
-  private static <E extends Exception> void pauseOrThrow(E failure, long begun)
+  private static <E extends Exception> void pauseOrThrow(E failure, long startedAt)
       throws E, InterruptedException {
-    if (System.nanoTime() - begun > TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS)) {
+    if (System.nanoTime() - startedAt > RETRY_TIMEOUT_NANOS) {
       throw failure;
     }
-    Thread.sleep(PAUSE_MS);
+    Thread.sleep(RETRY_PAUSE_MILLIS);
   }
 }
--- /dev/null
+++ b/src/main/java/merlinrouter/node/config/EndpointListReader.java
@@ -0,0 +1,65 @@
+package merlinrouter.node.config;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+
+/** Reads endpoint lists. */
+public final class EndpointListReader {
+  private EndpointListReader() {}
+
+  /**
+   * Reads one message of discovery.
+   *
+   * @param text the message, in JSON
+   * @param names the names that the settings give indices to
+   * @throws InvalidConfigException if the message is no endpoint list
+   */
+  public static EndpointList parse(String text, SettingNames names) throws InvalidConfigException {
+    return read(JsonFields.parse(text, "discovery's message"), names);
+  }
+
+  static EndpointList read(JsonNode node, SettingNames names) throws InvalidConfigException {
+    if (!JsonFields.required(node, EndpointListKeys.ENTRIES).isArray()
+        || !JsonFields.required(node, EndpointListKeys.REVISION).isIntegralNumber()) {
+      throw new InvalidConfigException("a list of app servers without revision or members");
+    }
+    List<EndpointEntry> entries = new ArrayList<>();
+    for (JsonNode entry : node.get(EndpointListKeys.ENTRIES)) {
+      entries.add(entry(entry, names));
+    }
+    return new EndpointList(
+        node.get(EndpointListKeys.REVISION).asLong(),
+        node.path(EndpointListKeys.COMPLETE).asBoolean(false),
+        entries);
+  }
+
+  private static EndpointEntry entry(JsonNode node, SettingNames names)
+      throws InvalidConfigException {
+    String id = JsonFields.required(node, EndpointListKeys.ID).asText();
+    EndpointState state = state(JsonFields.required(node, EndpointListKeys.STATE).asText());
+    // Wall-clock time; EndpointStartTimes converts it to the monotonic clock.
+    long startedAtMillis = Math.max(0, node.path(EndpointListKeys.STARTED_AT_MILLIS).asLong(0));
+    Endpoint endpoint =
+        new Endpoint(
+            id,
+            node.path(EndpointListKeys.WEIGHT).asDouble(1),
+            names.zones().indexOf(node.path(EndpointListKeys.ZONE).asText()),
+            node.path(EndpointListKeys.CELL).asInt(0),
+            names.machineTypes().indexOf(node.path(EndpointListKeys.MACHINE_TYPE).asText()),
+            state,
+            TimeUnit.MILLISECONDS.toNanos(startedAtMillis));
+    return new EndpointEntry(endpoint, JsonFields.address(node, EndpointListKeys.ADDRESS));
+  }
+
+  private static EndpointState state(String text) {
+    return switch (text) {
+      case EndpointListKeys.READY -> EndpointState.READY;
+      case EndpointListKeys.REMOVED -> EndpointState.REMOVED;
+      default -> EndpointState.DRAINING;
+    };
+  }
+}
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -30,7 +30,11 @@
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.EndpointList;
+import merlinrouter.node.config.EndpointListReader;
+import merlinrouter.node.config.InvalidConfigException;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.SettingNames;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
 
@@ -77,7 +81,7 @@
 
   private final EdgeNode node;
   private final EventLoop loop;
-  private final NodeConfig.Names names;
+  private final SettingNames names;
   private final Bootstrap bootstrap;
   private final long mostBackoff, mutePatience;
 
@@ -262,7 +266,7 @@
       } else if (!lists.isBetween() && unfinished == null) {
         unfinished =
             loop.schedule(
-                () -> spoilt(context, new NodeConfig.Invalid("discovery's list was cut")),
+                () -> spoilt(context, new InvalidConfigException("discovery's list was cut")),
                 UNFINISHED_MS,
                 TimeUnit.MILLISECONDS);
       }
@@ -291,8 +295,10 @@
     if (!(cause instanceof ReadTimeoutException) && context.channel().isOpen()) {
       // What could not be read may be a megabyte of noise.
       boolean noise =
-          cause instanceof DecoderException && !(cause.getCause() instanceof NodeConfig.Invalid);
-      EdgeNode.trouble("discovery", noise ? new NodeConfig.Invalid("what came is no list") : cause);
+          cause instanceof DecoderException
+              && !(cause.getCause() instanceof InvalidConfigException);
+      EdgeNode.trouble(
+          "discovery", noise ? new InvalidConfigException("what came is no list") : cause);
     }
     context.close();
   }
@@ -312,11 +318,11 @@
   private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf text)
-        throws NodeConfig.Invalid {
+        throws InvalidConfigException {
       if (context.channel() != speaking || !context.channel().isOpen()) {
         return;
       }
-      NodeConfig.Roll roll = NodeConfig.roll(text.toString(StandardCharsets.UTF_8), names);
+      EndpointList roll = EndpointListReader.parse(text.toString(StandardCharsets.UTF_8), names);
       node.list(roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
       revision = roll.revision();
       heard = true;
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -30,6 +30,8 @@
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.Outcome;
 import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.EndpointEntry;
+import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
@@ -113,8 +115,8 @@
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private boolean retired;
 
-    EndpointPool(NodeConfig.Member member) {
-      server = member.server();
+    EndpointPool(EndpointEntry member) {
+      server = member.endpoint();
       address = member.address();
       startedAt = server.startedAtNanos();
     }
@@ -153,11 +155,11 @@
    * yet. Under the old id the new one would be reached unknown, with neither its cold start nor its
    * drain.
    */
-  public List<Endpoint> update(NodeConfig.Roll roll, boolean whole) {
+  public List<Endpoint> update(EndpointList roll, boolean whole) {
     List<Endpoint> told = new ArrayList<>();
     Set<String> named = new HashSet<>();
-    for (NodeConfig.Member member : roll.members()) {
-      Endpoint server = member.server();
+    for (EndpointEntry member : roll.entries()) {
+      Endpoint server = member.endpoint();
       named.add(server.id());
       boolean ready = server.state() == EndpointState.READY;
       EndpointPool holder = ready ? holder(member) : null;
@@ -191,9 +193,9 @@
     return told;
   }
 
-  private EndpointPool holder(NodeConfig.Member of) {
+  private EndpointPool holder(EndpointEntry of) {
     EndpointPool holder = holders.get(of.address());
-    return holder == null || holder.server.id().equals(of.server().id()) ? null : holder;
+    return holder == null || holder.server.id().equals(of.endpoint().id()) ? null : holder;
   }
 
   private static Endpoint gone(Endpoint server) {
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -38,6 +38,8 @@
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.Idempotency;
 import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.EndpointEntry;
+import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
@@ -110,7 +112,7 @@
   }
 
   private int play(long span) throws Exception {
-    List<NodeConfig.Member> members = new ArrayList<>();
+    List<EndpointEntry> members = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
       SocketAddress address = file("s" + i);
       Transport.listening(loop, address)
@@ -119,7 +121,7 @@
           .sync();
       long started = i > 0 ? 0 : TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
       members.add(
-          new NodeConfig.Member(
+          new EndpointEntry(
               new Endpoint(
                   "rehearsal-" + i,
                   1,
@@ -139,9 +141,9 @@
             config.seed(),
             // Both ends of each connection are this process's.
             config.sockets() / 2,
-            config.memory(),
+            config.memoryLimitBytes(),
             config.cores(),
-            new NodeConfig.Roll(1, true, members),
+            new EndpointList(1, true, members),
             config.connectTimeout(),
             config.keepAlive(),
             config.names(),
--- a/src/main/java/merlinrouter/settings/SettingKeys.java
+++ b/src/main/java/merlinrouter/settings/SettingKeys.java
@@ -101,7 +101,9 @@
   /** Value of {@link #IDEMPOTENCY}: must never be executed twice. */
   public static final String NON_IDEMPOTENT = "fragile";
 
-  static final String COUNT = ".count";
+  /** Suffix of a list: how many items it has. */
+  public static final String COUNT = ".count";
+
   static final String WEIGHTS = "weights";
   static final String LOAD_REPORT_NAMES = "load-info.names";
   static final String LOAD_REPORT_SOURCE = "load-info.source";
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import merlinrouter.node.counter.CounterClient;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -45,7 +46,7 @@
   }
 
   private NodeConfig counting(ScriptedServer at) throws Exception {
-    return NodeConfig.parse(
+    return NodeConfigReader.parse(
         config()
             .replace(counter.address(), at.address())
             .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -244,7 +244,7 @@
         .submit(
             () -> {
               node.reload(
-                  NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
+                  NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
               // Written while the loop is held: the node finds it when the move is done.
               watch.answer(chunk(change(8, member("s-2", before.address(), "Ready", 0)) + "\n"));
               return null;
--- a/src/test/java/merlinrouter/node/EdgeNodeTest.java
+++ b/src/test/java/merlinrouter/node/EdgeNodeTest.java
@@ -14,7 +14,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.InvalidConfigException;
+import merlinrouter.node.config.NodeConfigReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -368,7 +369,8 @@
                 "the configuration is not JSON"));
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
-          assertThrows(NodeConfig.Invalid.class, () -> NodeConfig.parse(one.getKey())).getMessage();
+          assertThrows(InvalidConfigException.class, () -> NodeConfigReader.parse(one.getKey()))
+              .getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
     }
--- a/src/test/java/merlinrouter/node/NodeFixture.java
+++ b/src/test/java/merlinrouter/node/NodeFixture.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -79,7 +79,7 @@
   }
 
   EdgeNode start(String config) throws Exception {
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config));
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config));
     toClose.add(node);
     node.start();
     return node;
--- a/src/test/java/merlinrouter/node/RaceConditionTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import merlinrouter.model.ClientRequest;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import merlinrouter.node.request.OpenRequest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -574,7 +574,7 @@
    */
   @Test
   void aNodeToldToEndBeforeItsBindNeverServes() throws Exception {
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config()));
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config()));
     toClose.add(node);
     node.drain().get(20, TimeUnit.SECONDS);
     Thread starting =
@@ -597,9 +597,9 @@
   void aHangUpBeforeTheStartMovesTheFirstWatchOn() throws Exception {
     ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
     String config = config();
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config));
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config));
     toClose.add(node);
-    node.reload(NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
+    node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
     node.start();
     assertTrue(elsewhere.next().first().contains("after=5"));
     until(node, () -> node.discovery().out() == 1);
--- a/src/test/java/merlinrouter/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -49,7 +49,7 @@
                           + "]}"));
             });
     discovery.next();
-    node.reload(NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
+    node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
     assertNotNull(discovery.ended.poll(60, TimeUnit.SECONDS), "the old watch must end");
     assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
     Socket client = client(node);
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import merlinrouter.node.warmup.WarmUp;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -30,7 +31,7 @@
   @Test
   void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
-    NodeConfig config = NodeConfig.parse(config(member("s-0", server.address(), "Ready", 0)));
+    NodeConfig config = NodeConfigReader.parse(config(member("s-0", server.address(), "Ready", 0)));
     assertTrue(WarmUp.hold(config, 200, 60_000, folder) > 100);
     assertNull(server.seen.poll());
     assertNull(counter.seen.poll());
@@ -40,7 +41,7 @@
 
   @Test
   void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
-    NodeConfig config = NodeConfig.parse(config());
+    NodeConfig config = NodeConfigReader.parse(config());
     WarmUp.hold(config, Integer.MAX_VALUE, 1, folder);
     assertEquals(0, left());
     assertEquals(0, WarmUp.hold(config, 1, 60_000, folder.resolve("none")));
