--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -29,7 +29,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.node.config.EndpointList;
+import merlinrouter.node.config.EndpointListReader;
+import merlinrouter.node.config.InvalidConfigException;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.SettingNames;
 import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
@@ -78,7 +82,7 @@
   private final EndpointListListener listener;
   private final NodeLog log;
   private final EventLoop loop;
-  private final NodeConfig.Names names;
+  private final SettingNames names;
   private final Bootstrap bootstrap;
   private final long mostBackoff, mutePatience;
 
@@ -265,7 +269,7 @@
       } else if (!lists.isBetween() && unfinished == null) {
         unfinished =
             loop.schedule(
-                () -> spoilt(context, new NodeConfig.Invalid("discovery's list was cut")),
+                () -> spoilt(context, new InvalidConfigException("discovery's list was cut")),
                 UNFINISHED_MS,
                 TimeUnit.MILLISECONDS);
       }
@@ -294,8 +298,10 @@
     if (!(cause instanceof ReadTimeoutException) && context.channel().isOpen()) {
       // What could not be read may be a megabyte of noise.
       boolean noise =
-          cause instanceof DecoderException && !(cause.getCause() instanceof NodeConfig.Invalid);
-      ErrorLog.report("discovery", noise ? new NodeConfig.Invalid("what came is no list") : cause);
+          cause instanceof DecoderException
+              && !(cause.getCause() instanceof InvalidConfigException);
+      ErrorLog.report(
+          "discovery", noise ? new InvalidConfigException("what came is no list") : cause);
     }
     context.close();
   }
@@ -315,11 +321,11 @@
   private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf text)
-        throws NodeConfig.Invalid {
+        throws InvalidConfigException {
       if (context.channel() != speaking || !context.channel().isOpen()) {
         return;
       }
-      NodeConfig.Roll roll = NodeConfig.roll(text.toString(StandardCharsets.UTF_8), names);
+      EndpointList roll = EndpointListReader.parse(text.toString(StandardCharsets.UTF_8), names);
       listener.endpointsUpdated(
           roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
       revision = roll.revision();
--- a/src/main/java/merlinrouter/node/discovery/EndpointListListener.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointListListener.java
@@ -1,7 +1,7 @@
 package merlinrouter.node.discovery;
 
 import merlinrouter.model.EndpointUpdateType;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.EndpointList;
 
 /** Is notified of the endpoint list and of changes to it. */
 public interface EndpointListListener {
@@ -11,5 +11,5 @@
    * @param update the list, or its changed entries
    * @param type what the update holds
    */
-  void endpointsUpdated(NodeConfig.Roll update, EndpointUpdateType type);
+  void endpointsUpdated(EndpointList update, EndpointUpdateType type);
 }
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -29,6 +29,8 @@
 import merlinrouter.model.Endpoint;
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.config.EndpointEntry;
+import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
@@ -112,8 +114,8 @@
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private boolean retired;
 
-    EndpointPool(NodeConfig.Member member) {
-      server = member.server();
+    EndpointPool(EndpointEntry member) {
+      server = member.endpoint();
       address = member.address();
       startedAt = server.startedAtNanos();
     }
@@ -152,11 +154,11 @@
    * yet. Under the old id the new one would be reached unknown, with neither its cold start nor its
    * drain.
    */
-  public List<Endpoint> update(NodeConfig.Roll roll, boolean whole) {
+  public List<Endpoint> update(EndpointList roll, boolean whole) {
     List<Endpoint> told = new ArrayList<>();
     Set<String> named = new HashSet<>();
-    for (NodeConfig.Member member : roll.members()) {
-      Endpoint server = member.server();
+    for (EndpointEntry member : roll.entries()) {
+      Endpoint server = member.endpoint();
       named.add(server.id());
       boolean ready = server.state() == EndpointState.READY;
       EndpointPool holder = ready ? holder(member) : null;
@@ -190,9 +192,9 @@
     return told;
   }
 
-  private EndpointPool holder(NodeConfig.Member of) {
+  private EndpointPool holder(EndpointEntry of) {
     EndpointPool holder = holders.get(of.address());
-    return holder == null || holder.server.id().equals(of.server().id()) ? null : holder;
+    return holder == null || holder.server.id().equals(of.endpoint().id()) ? null : holder;
   }
 
   private static Endpoint gone(Endpoint server) {
