--- a/src/main/java/merlinrouter/simulator/SimulatorAdapter.java
+++ b/src/main/java/merlinrouter/simulator/SimulatorAdapter.java
@@ -7,27 +7,40 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** The adapter's entry point: plays many gateways on the simulator's wire until its input ends. */
+/** The adapter's entry point: hosts gateways for the simulator until its input ends. */
 public final class SimulatorAdapter {
+  private static final String COMMAND = "simulate";
+  private static final int BUFFER_CHARACTERS = 64 * 1024;
+  private static final int EXIT_MALFORMED_INPUT = 1;
+  private static final int EXIT_IO_ERROR = 1;
+  private static final int EXIT_USAGE = 2;
+
   private SimulatorAdapter() {}
 
-  /** Runs the adapter; the only argument is the word {@code simulate}. */
+  /**
+   * Runs the adapter; the only argument is the word {@code simulate}. Returns at the end of the
+   * input; ends the process with status 1 on malformed input or an I/O error and with 2 on a bad
+   * command line.
+   */
   public static void main(String[] args) {
-    if (args.length != 1 || !args[0].equals("simulate")) {
-      System.err.println("usage: merlinrouter.jar simulate");
-      System.exit(2);
+    if (args.length != 1 || !args[0].equals(COMMAND)) {
+      System.err.println("usage: merlinrouter.jar " + COMMAND);
+      System.exit(EXIT_USAGE);
     }
-    var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+    var in =
+        new BufferedReader(
+            new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_CHARACTERS);
     var out =
-        new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
+        new BufferedWriter(
+            new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER_CHARACTERS);
     try {
       new WireReader(in, new WireWriter(out)).run();
-    } catch (MalformedInput e) {
+    } catch (MalformedInputException e) {
       System.err.println(e.getMessage());
-      System.exit(1);
+      System.exit(EXIT_MALFORMED_INPUT);
     } catch (IOException e) {
       System.err.println("the wire broke: " + e.getMessage());
-      System.exit(1);
+      System.exit(EXIT_IO_ERROR);
     }
   }
 }
--- a/src/main/java/merlinrouter/simulator/WireWriter.java
+++ b/src/main/java/merlinrouter/simulator/WireWriter.java
@@ -2,9 +2,13 @@
 
 import java.io.IOException;
 import java.io.Writer;
+import java.math.BigDecimal;
 import merlinrouter.gateway.GatewayActions;
 
-/** Writes actions as lines of the wire. */
+/**
+ * Collects the actions of all gateway instances as lines of the reply to a batch. Used by one
+ * thread.
+ */
 final class WireWriter {
   private final Writer out;
   private final StringBuilder reply = new StringBuilder();
@@ -13,81 +17,82 @@
     this.out = out;
   }
 
-  /** The actions of one instance. */
-  GatewayActions actionsOf(int node) {
-    return new NodeActions(node);
+  /** The actions of one gateway instance. */
+  GatewayActions actionsOf(int instance) {
+    return new InstanceActions(instance);
   }
 
-  /** Ends the reply to a batch. */
+  /** Ends the reply to a batch and sends it. */
   void flush() throws IOException {
-    reply.append("yield\n");
+    reply.append(WireVocabulary.REPLY_END).append('\n');
     out.append(reply);
     out.flush();
     reply.setLength(0);
   }
 
-  private final class NodeActions implements GatewayActions {
-    private final int node;
+  /** Adds a line to the reply: the action's word, the instance, then the action's fields. */
+  private void writeLine(String action, int instance, Object... fields) {
+    reply.append(action).append(WireVocabulary.FIELD_SEPARATOR).append(instance);
+    for (Object field : fields) {
+      reply.append(WireVocabulary.FIELD_SEPARATOR).append(field);
+    }
+    reply.append('\n');
+  }
 
-    NodeActions(int node) {
-      this.node = node;
+  /** A number without an exponent, and without a fraction where it is a whole one. */
+  private static String decimal(double value) {
+    if (value == Math.rint(value)) {
+      return Long.toString((long) value);
     }
+    return BigDecimal.valueOf(value).toPlainString();
+  }
+
+  private final class InstanceActions implements GatewayActions {
+    private final int instance;
 
-    private StringBuilder line(String action) {
-      return reply.append(action).append(' ').append(node);
+    InstanceActions(int instance) {
+      this.instance = instance;
     }
 
     @Override
-    public void startAttempt(String id, String server, long patience) {
-      line("try")
-          .append(' ')
-          .append(id)
-          .append(' ')
-          .append(server)
-          .append(' ')
-          .append(patience)
-          .append('\n');
+    public void startAttempt(String requestId, String endpointId, long timeoutNanos) {
+      writeLine(WireVocabulary.START_ATTEMPT, instance, requestId, endpointId, timeoutNanos);
     }
 
     @Override
-    public void reject(String id, long retryAfter) {
-      line("decline").append(' ').append(id).append(' ').append(retryAfter).append('\n');
+    public void reject(String requestId, long retryAfterNanos) {
+      writeLine(WireVocabulary.REJECT, instance, requestId, retryAfterNanos);
     }
 
     @Override
-    public void fail(String id) {
-      line("surrender").append(' ').append(id).append('\n');
+    public void fail(String requestId) {
+      writeLine(WireVocabulary.FAIL, instance, requestId);
     }
 
     @Override
-    public void startHealthCheck(String server) {
-      line("inspect").append(' ').append(server).append('\n');
+    public void startHealthCheck(String endpointId) {
+      writeLine(WireVocabulary.START_HEALTH_CHECK, instance, endpointId);
     }
 
     @Override
-    public void addToCounter(long name, double amount, long lifetime) {
-      line("enter").append(' ').append(lifetime).append(' ');
-      if (amount == Math.rint(amount)) {
-        reply.append((long) amount);
-      } else {
-        reply.append(java.math.BigDecimal.valueOf(amount).toPlainString());
-      }
-      reply.append(' ').append(name).append('\n');
+    public void addToCounter(long counterKey, double amount, long timeToLiveNanos) {
+      writeLine(
+          WireVocabulary.ADD_TO_COUNTER, instance, timeToLiveNanos, decimal(amount), counterKey);
     }
 
     @Override
-    public void scheduleTimer(long token, long span) {
-      line("after").append(' ').append(token).append(' ').append(span).append('\n');
+    public void scheduleTimer(long token, long delayNanos) {
+      writeLine(WireVocabulary.SCHEDULE_TIMER, instance, token, delayNanos);
     }
 
     @Override
     public void subscribeToEndpoints() {
-      line("subscribe").append(" 1\n");
+      writeLine(WireVocabulary.SUBSCRIBE, instance, WireVocabulary.SUBSCRIBE_ON);
     }
 
     @Override
     public void log(String text) {
-      line("record").append(' ').append(text).append('\n');
+      writeLine(WireVocabulary.LOG, instance, text);
     }
   }
 }
