--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -55,7 +55,9 @@
     this.loop = loop;
     this.budget = budget;
     listenAddress = config.listen();
-    parser = new RequestParser(config, handler::deadline);
+    parser =
+        new RequestParser(
+            config.names().classes(), config.names().plans(), config.settings(), handler::deadline);
     registry = new ConnectionRegistry(config.sockets());
     loop.scheduleAtFixedRate(
         registry::enforceTimeouts,
--- a/src/main/java/merlinrouter/node/downstream/RequestParser.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestParser.java
@@ -10,7 +10,6 @@
 import java.util.function.LongBinaryOperator;
 import merlinrouter.model.ClientRequest;
 import merlinrouter.model.Idempotency;
-import merlinrouter.node.config.NodeConfig;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.RequestClass;
 
@@ -30,12 +29,18 @@
   /**
    * Creates a parser.
    *
+   * @param requestClassNames the names of the settings' request classes, by index
+   * @param quotaPlanNames the names of the settings' quota plans, by index
    * @param deadline computes a request's deadline as {@link RequestHandler#deadline} does
    */
-  RequestParser(NodeConfig config, LongBinaryOperator deadline) {
-    this.requestClassNames = config.names().classes();
-    this.quotaPlanNames = config.names().plans();
-    this.settings = config.settings();
+  RequestParser(
+      List<String> requestClassNames,
+      List<String> quotaPlanNames,
+      GatewaySettings settings,
+      LongBinaryOperator deadline) {
+    this.requestClassNames = requestClassNames;
+    this.quotaPlanNames = quotaPlanNames;
+    this.settings = settings;
     this.deadline = deadline;
   }
 
