--- /dev/null
+++ b/src/test/java/merlinrouter/node/GracefulShutdownTest.java
@@ -0,0 +1,56 @@
+package merlinrouter.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** A drain with requests in flight and connections that are still coming. */
+@Timeout(120)
+class GracefulShutdownTest extends NodeFixture {
+  @Test
+  void drainAnswersAcceptedRequestsAndClosesConnections() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
+    ScriptedServer server =
+        peer(
+            m -> {
+              proceed.join();
+              m.answer(ScriptedServer.ok("", "x"));
+            });
+    EdgeNode node = node(server);
+    Socket busy = client(node);
+    order(busy, "t-1");
+    server.next();
+    CompletableFuture<Void> drained = node.drain();
+    // Clients go on connecting for a while after SIGTERM, and their requests must be answered.
+    Socket late = client(node);
+    order(late, "t-2");
+    server.next();
+    assertFalse(drained.isDone());
+    proceed.complete(null);
+    for (Socket client : List.of(busy, late)) {
+      ScriptedServer.Message response = ScriptedServer.read(client);
+      assertEquals("200", status(response));
+      assertEquals("close", response.headers().get("connection"));
+      assertNull(ScriptedServer.read(client));
+    }
+    drained.get(60, TimeUnit.SECONDS);
+    // The kernel closes a listening socket only when the selector next runs: until then clients may
+    // connect.
+    assertThrows(
+        IOException.class,
+        () -> {
+          while (true) {
+            client(node).close();
+          }
+        });
+  }
+}
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import merlinrouter.node.downstream.MemoryBudget;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that send what is no request, too much, too little or nothing. */
+/** Clients that send invalid requests, too much, too little or nothing. */
 @Timeout(120)
 class MisbehavingClientTest extends NodeFixture {
   private static void send(Socket to, String text) throws IOException {
@@ -30,26 +30,28 @@
     return text.toString();
   }
 
-  /** An error and a close, or, where much is left unread, at least the close. */
-  private static void assertRefused(Socket client, String status, String what) throws IOException {
+  /**
+   * An error response and a close; a reset is enough if the client left much unread by the node.
+   */
+  private static void assertRejected(Socket client, String status, String description)
+      throws IOException {
     try {
-      ScriptedServer.Message answer = ScriptedServer.read(client);
-      assertEquals(status, status(answer), what);
-      assertEquals("close", answer.headers().get("connection"), what);
-      assertNull(ScriptedServer.read(client), what);
+      ScriptedServer.Message response = ScriptedServer.read(client);
+      assertEquals(status, status(response), description);
+      assertEquals("close", response.headers().get("connection"), description);
+      assertNull(ScriptedServer.read(client), description);
     } catch (SocketException e) {
-      assertTrue(e.getMessage().contains("reset"), what + ": " + e);
+      assertTrue(e.getMessage().contains("reset"), description + ": " + e);
     }
   }
 
-  /**
-   * What stands behind a refused message may be a part of it: one edge's body is another's request.
-   */
+  /** What follows a rejected request may be a part of it (request smuggling). */
   @Test
-  void nothingBehindARefusedMessageIsRead() throws Exception {
+  void nothingBehindARejectedRequestIsRead() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
-    String good = head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
+    String valid =
+        head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
     String head = head(headers("t-1", "order", "20000"), "POST /api");
     for (String bad :
         List.of(
@@ -75,14 +77,14 @@
             "nonsense\r\n\r\n",
             "\u0000\u0001\u0002\r\n\r\n")) {
       Socket client = client(node);
-      send(client, bad + good);
-      assertRefused(client, "400", bad);
+      send(client, bad + valid);
+      assertRejected(client, "400", bad);
     }
-    assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
+    assertTrue(server.seen.isEmpty(), "none of these may reach an endpoint");
   }
 
   @Test
-  void aBodyTooLargeIsTurnedAwayUnread() throws Exception {
+  void tooLargeBodyIsRejectedUnread() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     EdgeNode node = node(server);
     String head = head(headers("t-1", "order", "20000"), "POST /api");
@@ -94,19 +96,19 @@
                 + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17))) {
       Socket client = client(node);
       send(client, head + bad);
-      assertRefused(client, "413", bad.substring(0, 24));
+      assertRejected(client, "413", bad.substring(0, 24));
     }
     assertTrue(server.seen.isEmpty());
   }
 
-  /** Without limits on time, connections that bring nothing would stay for ever. */
+  /** Without timeouts, connections that send nothing would stay open for ever. */
   @Test
-  void silenceAndHalfARequestEndInTimeAndAnOpenRequestDoesNot() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void silentAndIncompleteClientsTimeOutAndOpenRequestsDoNot() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
     ScriptedServer server =
         peer(
             m -> {
-              go.join();
+              proceed.join();
               m.answer(ScriptedServer.ok("", "x"));
             });
     EdgeNode node = node(server);
@@ -120,83 +122,67 @@
         halfBody,
         head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 9\r\n\r\nhalf");
     Socket silent = client(node);
-    assertRefused(halfHead, "408", "half a head");
-    assertRefused(halfBody, "408", "half a body");
+    assertRejected(halfHead, "408", "half a head");
+    assertRejected(halfBody, "408", "half a body");
     assertNull(ScriptedServer.read(silent));
-    // The request has been open for longer than all of these.
-    go.complete(null);
+    // The request has been open for longer than both timeouts.
+    proceed.complete(null);
     assertEquals("200", status(ScriptedServer.read(busy)));
-    assertNull(ScriptedServer.read(busy), "then it is idle, and closes");
+    assertNull(ScriptedServer.read(busy), "then the connection is idle, and closes");
   }
 
-  /**
-   * Requests sent ahead were once decoded as they came, and filled the memory from many
-   * connections.
-   */
+  /** Otherwise many connections with pipelined requests could exhaust the memory. */
   @Test
-  void whatIsSentAheadWaitsUnread() throws Exception {
+  void pipelinedRequestsWaitUnread() throws Exception {
     int count = 400;
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
     ScriptedServer server =
         peer(
             m -> {
-              go.join();
+              proceed.join();
               m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")));
             });
     EdgeNode node = node(server);
-    Socket ahead = client(node);
+    Socket pipelining = client(node);
     String body = "x".repeat(64 * 1024);
-    write(ahead, "POST /api", headers("a-0", "order", "20000"), body);
+    write(pipelining, "POST /api", headers("a-0", "order", "20000"), body);
     server.next();
     CompletableFuture<Void> written =
         CompletableFuture.runAsync(
             () -> {
               try {
                 for (int i = 1; i < count; i++) {
-                  write(ahead, "POST /api", headers("a-" + i, "order", "20000"), body);
+                  write(pipelining, "POST /api", headers("a-" + i, "order", "20000"), body);
                 }
               } catch (IOException e) {
                 throw new IllegalStateException(e);
               }
             });
-    Socket usual = client(node);
-    order(usual, "t-1");
+    Socket other = client(node);
+    order(other, "t-1");
     server.next();
-    assertFalse(written.isDone(), "all of 25 MB was read ahead");
-    go.complete(null);
-    assertEquals("200", status(ScriptedServer.read(usual)));
-    // Each has its one answer in its turn: its own, or that it is given up, since behind so much
-    // that waits
-    // unread its client may have left and nothing is to be sent on 0.1 s later.
+    assertFalse(written.isDone(), "all of 25 MB was read");
+    proceed.complete(null);
+    assertEquals("200", status(ScriptedServer.read(other)));
+    // Each has one response, in order: its own, or a failure, since behind so many unread bytes its
+    // client may have disconnected more than 100 ms ago.
     for (int i = 0; i < count; i++) {
-      ScriptedServer.Message answer = ScriptedServer.read(ahead);
-      assertEquals(status(answer).equals("200") ? "a-" + i : "", answer.body());
-      assertTrue(Set.of("200", "502").contains(status(answer)), answer.first());
+      ScriptedServer.Message response = ScriptedServer.read(pipelining);
+      assertEquals(status(response).equals("200") ? "a-" + i : "", response.body());
+      assertTrue(Set.of("200", "502").contains(status(response)), response.first());
       assertTrue(
-          i > 0 || status(answer).equals("200"), "the first was sent on while its client was seen");
+          i > 0 || status(response).equals("200"),
+          "the first was forwarded while its client was seen connected");
     }
     written.join();
-    // All is read now, its client is seen again, and what it asks is served.
-    order(ahead, "a-last");
-    assertEquals("a-last", ScriptedServer.read(ahead).body());
+    // All is read now, so that the client is seen connected again.
+    order(pipelining, "a-last");
+    assertEquals("a-last", ScriptedServer.read(pipelining).body());
   }
 
+  /** Clients that keep a connection after one request must leave some for others. */
   @Test
-  void bodiesShareOneBudgetAndSmallOnesHaveTheLastQuarter() {
-    MemoryBudget budget = new MemoryBudget(16 << 20);
-    assertTrue(budget.allows(64 * 1024));
-    budget.change(800_000);
-    assertFalse(budget.allows(64 * 1024));
-    assertTrue(budget.allows(200));
-    budget.change(300_000);
-    assertFalse(budget.allows(200));
-    budget.change(-1_100_000);
-    assertEquals(0, budget.usedBytes());
-  }
-
-  /** Clients that keep a connection after one request once left the others none. */
-  @Test
-  void ofManyIdleConnectionsNoMoreAreKept() throws Exception {
+  void idleConnectionsAreKeptUpToALimit() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "done")));
     EdgeNode node =
         start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
@@ -204,15 +190,100 @@
     for (int i = 0; i < 30; i++) {
       last = client(node);
       order(last, "k-" + i);
-      ScriptedServer.Message answer = ScriptedServer.read(last);
-      assertEquals("200", status(answer));
+      ScriptedServer.Message response = ScriptedServer.read(last);
+      assertEquals("200", status(response));
       if (i == 20) {
         assertEquals(
-            "close", answer.headers().get("connection"), "one that is ended must be told so");
+            "close",
+            response.headers().get("connection"),
+            "a connection that closes must be announced");
         assertEquals(-1, last.getInputStream().read());
       }
     }
     assertTrue(node.connections() <= 17, "connections kept: " + node.connections());
     assertEquals("200", ask(client(node), "k-30"));
   }
+
+  @Test
+  void invalidRequestsAreRejected() throws Exception {
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    EdgeNode node = node(server);
+    Map<String, String> bad =
+        new TreeMap<>(
+            Map.of(
+                "X-Trace-Id",
+                "",
+                "X-Qos",
+                "nonsense",
+                "X-Plan",
+                "gold",
+                "Cookie",
+                "customer=zz",
+                "X-Expires-In-Ms",
+                "soon",
+                "X-Quota",
+                "units=NaN,spread=1,first=0",
+                "Idempotency-Key",
+                ""));
+    for (Map.Entry<String, String> entry : bad.entrySet()) {
+      Map<String, String> headers = headers("t-1", "order", "20000");
+      headers.put(entry.getKey(), entry.getValue());
+      Socket client = client(node);
+      write(client, "POST /api", headers, "");
+      assertEquals("400", status(ScriptedServer.read(client)), entry.getKey());
+    }
+    for (String quota :
+        List.of(
+            "units=1,spread=0,first=0",
+            "units=1,spread=1,first=99",
+            "units=-1,spread=1,first=0",
+            "spread=1,first=0",
+            "units=1")) {
+      Map<String, String> headers = headers("t-1", "order", "20000");
+      headers.put("X-Quota", quota);
+      Socket client = client(node);
+      write(client, "POST /api", headers, "");
+      assertEquals("400", status(ScriptedServer.read(client)), quota);
+    }
+    Map<String, String> valid = headers("t-1", "order", "20000");
+    for (Map.Entry<String, String> entry :
+        Map.of("GET /api", "405", "POST /elsewhere", "404").entrySet()) {
+      Socket client = client(node);
+      write(client, entry.getKey(), valid, "");
+      assertEquals(entry.getValue(), status(ScriptedServer.read(client)), entry.getKey());
+    }
+    assertTrue(server.seen.isEmpty(), "none of these may reach an endpoint");
+  }
+
+  @Test
+  void duplicateIdOfAnOpenRequestIsRejected() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
+    ScriptedServer server =
+        peer(
+            m -> {
+              proceed.join();
+              m.answer(ScriptedServer.ok("", "x"));
+            });
+    EdgeNode node = node(server);
+    Socket first = client(node);
+    order(first, "t-1");
+    server.next();
+    assertEquals("409", ask(client(node), "t-1"));
+    proceed.complete(null);
+    assertEquals("200", status(ScriptedServer.read(first)));
+  }
+
+  /** Otherwise silent connections could occupy all sockets. */
+  @Test
+  void silentConnectionsAreEvictedForNewOnes() throws Exception {
+    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    EdgeNode node =
+        start(
+            config(member("s-0", server.address(), "Ready", 0))
+                .replace("\"sockets\": 1024", "\"sockets\": 16"));
+    for (int i = 0; i < 30; i++) {
+      client(node);
+    }
+    assertEquals("200", ask(client(node), "t-1"));
+  }
 }
--- /dev/null
+++ b/src/test/java/merlinrouter/node/downstream/MemoryBudgetTest.java
@@ -0,0 +1,23 @@
+package merlinrouter.node.downstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The limit on the bytes that requests hold. */
+class MemoryBudgetTest {
+  @Test
+  void requestsShareOneBudgetAndSmallOnesHaveTheLastQuarter() {
+    MemoryBudget budget = new MemoryBudget(16 << 20);
+    assertTrue(budget.allows(64 * 1024));
+    budget.change(800_000);
+    assertFalse(budget.allows(64 * 1024));
+    assertTrue(budget.allows(200));
+    budget.change(300_000);
+    assertFalse(budget.allows(200));
+    budget.change(-1_100_000);
+    assertEquals(0, budget.usedBytes());
+  }
+}
