--- /dev/null
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -0,0 +1,140 @@
+package merlinrouter.node.upstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.model.Outcome;
+import merlinrouter.node.http.ServiceProtocol;
+import merlinrouter.node.request.OpenRequest;
+
+/**
+ * One forwarding of a request to an endpoint; its listener is notified of its end exactly once.
+ * Used on the event loop only.
+ */
+final class Attempt {
+  private static final long MIN_FORWARDED_TIMEOUT_MILLIS = 1;
+
+  private final OpenRequest request;
+  private final String endpointId;
+  private final long timeoutNanos;
+  private final AttemptListener listener;
+  private final long startedAtNanos = System.nanoTime();
+  private UpstreamConnection connection;
+  private Future<?> timeout;
+  private boolean written;
+  private boolean ended;
+
+  Attempt(OpenRequest request, String endpointId, long timeoutNanos, AttemptListener listener) {
+    this.request = request;
+    this.endpointId = endpointId;
+    this.timeoutNanos = timeoutNanos;
+    this.listener = listener;
+  }
+
+  String requestId() {
+    return request.request.id();
+  }
+
+  String endpointId() {
+    return endpointId;
+  }
+
+  long elapsedNanos() {
+    return System.nanoTime() - startedAtNanos;
+  }
+
+  boolean isEnded() {
+    return ended;
+  }
+
+  /** Whether the whole request was written, so that the endpoint may execute it. */
+  boolean isWritten() {
+    return written;
+  }
+
+  /** Whether the client still waits for the response, as far as can be known. */
+  boolean isAwaited() {
+    return request.awaited();
+  }
+
+  void scheduleTimeout(EventLoop loop) {
+    timeout = loop.schedule(this::timeOut, timeoutNanos, TimeUnit.NANOSECONDS);
+  }
+
+  /** Assigns the connection that the request is written to. */
+  void attach(UpstreamConnection to) {
+    connection = to;
+  }
+
+  /** Leaves its connection to other attempts. */
+  void detach() {
+    connection = null;
+  }
+
+  /** Notes whether the whole request was written. */
+  void setWritten(boolean complete) {
+    written = complete;
+  }
+
+  /** Ends it because its connection is lost. */
+  void connectionLost() {
+    end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+  }
+
+  private void timeOut() {
+    if (connection != null) {
+      connection.close();
+    }
+    end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+  }
+
+  /** Ends it without a response; no effect if it has ended. */
+  void end(Outcome outcome) {
+    end(outcome, 0, null);
+  }
+
+  /** Ends it with a response; no effect if it has ended. */
+  void end(UpstreamResponse response) {
+    end(response.outcome(), response.chargedUnits(), response.body());
+  }
+
+  private void end(Outcome outcome, double chargedUnits, ByteBuf body) {
+    if (ended) {
+      return;
+    }
+    ended = true;
+    if (timeout != null) {
+      timeout.cancel(false);
+    }
+    if (connection != null) {
+      connection.detachAttempt();
+    }
+    listener.attemptEnded(
+        new CompletedAttempt(request, endpointId, outcome, elapsedNanos(), chargedUnits, body));
+  }
+
+  /** Returns the request as it goes to the endpoint, with the time that is left of the timeout. */
+  FullHttpRequest toHttpRequest() {
+    FullHttpRequest message =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, request.method, request.uri, request.body.retainedDuplicate());
+    long leftMillis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - elapsedNanos());
+    message
+        .headers()
+        .set(HttpHeaderNames.HOST, ServiceProtocol.SERVICE_HOST)
+        .set(ServiceProtocol.REQUEST_ID, requestId())
+        .set(ServiceProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
+    if (request.key != null) {
+      message.headers().set(ServiceProtocol.IDEMPOTENCY_KEY, request.key);
+    }
+    if (request.body.isReadable()) {
+      message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body.readableBytes());
+    }
+    return message;
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -0,0 +1,115 @@
+package merlinrouter.node.upstream;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.model.Outcome;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.http.ResponseDecoder;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.transport.Transport;
+
+/**
+ * Opens connections to endpoints and counts them. Used on the event loop only.
+ *
+ * <p>A connection attempt that fails in this process, for want of a file descriptor for instance,
+ * is retried: nothing was sent to the endpoint, and it is not the endpoint's failure. All tries of
+ * one attempt together take no longer than one connection attempt may, as the window of an
+ * idempotency key assumes.
+ */
+final class Connector {
+  /** Short against the connect timeout. */
+  private static final long LOCAL_RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+
+  private static final long MIN_CONNECT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+
+  private final EventLoop loop;
+  private final NodeLog log;
+  private final long connectTimeoutNanos;
+  private final Bootstrap bootstrap;
+  private int connections;
+
+  Connector(EventLoop loop, NodeConfig config, NodeLog log) {
+    this.loop = loop;
+    this.log = log;
+    connectTimeoutNanos = Math.max(MIN_CONNECT_TIMEOUT_NANOS, config.connectTimeout());
+    double maxChargedUnits = config.settings().counter().maxRequestUnits();
+    bootstrap =
+        Transport.connecting(loop, config.discovery())
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    ResponseDecoder decoder = new ResponseDecoder();
+                    channel
+                        .pipeline()
+                        .addLast(
+                            decoder,
+                            new HttpRequestEncoder(),
+                            new UpstreamConnection(decoder, loop, log, maxChargedUnits));
+                  }
+                });
+  }
+
+  /** How many connections are open or being opened. */
+  int connections() {
+    return connections;
+  }
+
+  /**
+   * Opens a connection and writes an attempt to it, or ends the attempt; never from within this
+   * call.
+   */
+  void connect(EndpointPool pool, Attempt attempt) {
+    long leftMillis = TimeUnit.NANOSECONDS.toMillis(connectTimeoutNanos - attempt.elapsedNanos());
+    ChannelFuture connecting =
+        bootstrap
+            .clone()
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, leftMillis))
+            .connect(pool.address());
+    if (!Transport.hasChannel(connecting)) {
+      retryLater(pool, attempt);
+      return;
+    }
+    connections++;
+    Channel channel = connecting.channel();
+    channel.closeFuture().addListener(closed -> connections--);
+    connecting.addListener(
+        connected -> {
+          if (connected.isSuccess() && !pool.isRetired()) {
+            UpstreamConnection connection = channel.pipeline().get(UpstreamConnection.class);
+            connection.assignTo(pool);
+            connection.write(attempt);
+            return;
+          }
+          channel.close();
+          if (!connected.isSuccess() && Transport.isLocalFailure(connected.cause())) {
+            retryLater(pool, attempt);
+          } else {
+            attempt.end(Outcome.CONNECT_FAILED);
+          }
+        });
+  }
+
+  private void retryLater(EndpointPool pool, Attempt attempt) {
+    log.count(NodeLog.Event.LOCAL_CONNECT_FAILED);
+    loop.schedule(() -> retry(pool, attempt), LOCAL_RETRY_DELAY_NANOS, TimeUnit.NANOSECONDS);
+  }
+
+  private void retry(EndpointPool pool, Attempt attempt) {
+    boolean late = attempt.elapsedNanos() > connectTimeoutNanos - LOCAL_RETRY_DELAY_NANOS;
+    if (attempt.isEnded()) {
+      return;
+    }
+    if (late || pool.isRetired() || !attempt.isAwaited()) {
+      attempt.end(Outcome.NOT_SENT);
+    } else {
+      connect(pool, attempt);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
@@ -0,0 +1,53 @@
+package merlinrouter.node.upstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpResponse;
+import merlinrouter.model.Outcome;
+import merlinrouter.node.http.ServiceProtocol;
+import merlinrouter.node.http.StrictDecimal;
+
+/**
+ * A complete response of an endpoint.
+ *
+ * @param outcome what it means for the attempt
+ * @param chargedUnits the units that the endpoint charged; 0 if not known
+ * @param body its body; owned by whoever received it from the wire
+ */
+record UpstreamResponse(Outcome outcome, double chargedUnits, ByteBuf body) {
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_SERVICE_UNAVAILABLE = 503;
+  private static final int STATUS_GATEWAY_TIMEOUT = 504;
+
+  /**
+   * Reads a response.
+   *
+   * @param head status and headers
+   * @param body the complete body
+   * @param maxChargedUnits the most that one request may charge; a larger or malformed figure
+   *     counts as not known
+   */
+  static UpstreamResponse of(HttpResponse head, ByteBuf body, double maxChargedUnits) {
+    Outcome outcome = outcomeOf(head);
+    double units = outcome == Outcome.OK ? chargedUnitsOf(head, maxChargedUnits) : 0;
+    return new UpstreamResponse(outcome, units, body);
+  }
+
+  private static Outcome outcomeOf(HttpResponse head) {
+    int status = head.status().code();
+    if (status == STATUS_OK) {
+      return Outcome.OK;
+    }
+    boolean mayProveNotExecuted =
+        status == STATUS_SERVICE_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT;
+    boolean notExecuted =
+        mayProveNotExecuted
+            && ServiceProtocol.YES.equals(head.headers().get(ServiceProtocol.NOT_EXECUTED));
+    return notExecuted ? Outcome.REJECTED : Outcome.ERROR;
+  }
+
+  private static double chargedUnitsOf(HttpResponse head, double maxChargedUnits) {
+    String text = head.headers().get(ServiceProtocol.CHARGED_UNITS);
+    double units = StrictDecimal.amount(text, maxChargedUnits);
+    return Double.isNaN(units) ? 0 : units;
+  }
+}
