--- a/emulator/src/main/java/merlinrouter/emulator/Main.java
+++ b/emulator/src/main/java/merlinrouter/emulator/Main.java
@@ -1,5 +1,6 @@
 package merlinrouter.emulator;
 
+import merlinrouter.emulator.soak.SoakCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -8,7 +9,7 @@
     name = "emulator",
     mixinStandardHelpOptions = true,
     subcommands = SoakCommand.class,
-    description = "Runs real edge nodes between stand-ins on loopback, with faults.")
+    description = "Runs real edge nodes between emulated peers on loopback and injects faults.")
 public final class Main {
   private Main() {}
 
--- /dev/null
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/LoopbackPorts.java
@@ -0,0 +1,45 @@
+package merlinrouter.emulator.fleet;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.HashSet;
+import java.util.Set;
+
+/**
+ * Hands out listening ports of nodes. They lie below the range that the system gives to outgoing
+ * connections, so that a restarted node finds its port free.
+ */
+final class LoopbackPorts {
+  private static final int FIRST_PORT = 20_000;
+  private static final int LAST_PORT = 32_000;
+
+  /** Emulators that run at once begin their search at different ports. */
+  private static final int START_PORTS = 10_000;
+
+  private static final Set<Integer> RESERVED = new HashSet<>();
+
+  private LoopbackPorts() {}
+
+  /** Returns a free port that was not returned before. */
+  static synchronized int reserve() throws IOException {
+    int first = FIRST_PORT + (int) (ProcessHandle.current().pid() % START_PORTS);
+    for (int port = first; port <= LAST_PORT; port++) {
+      if (!RESERVED.contains(port) && isFree(port)) {
+        RESERVED.add(port);
+        return port;
+      }
+    }
+    throw new IOException("no port from " + first + " to " + LAST_PORT + " is free");
+  }
+
+  private static boolean isFree(int port) {
+    try (ServerSocket socket = new ServerSocket()) {
+      socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+      return true;
+    } catch (IOException e) {
+      return false;
+    }
+  }
+}
--- /dev/null
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/NodeConfig.java
@@ -0,0 +1,68 @@
+package merlinrouter.emulator.fleet;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.InputStream;
+
+/**
+ * What a node's configuration file says beyond the template {@code node.json}.
+ *
+ * @param gatewayNumber the node's number among all gateways, from 0
+ * @param gatewayCount how many gateways there are
+ * @param port the loopback port that it listens on
+ * @param discoveryAddress discovery's {@code host:port}
+ * @param counterAddress the quota counter's {@code host:port}
+ * @param knownEndpoints the endpoint list to start with, as JSON
+ */
+public record NodeConfig(
+    int gatewayNumber,
+    int gatewayCount,
+    int port,
+    String discoveryAddress,
+    String counterAddress,
+    String knownEndpoints) {
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final String TEMPLATE = "/node.json";
+
+  /** Multiplied with a node's number to get its seed: 2^64 divided by the golden ratio. */
+  private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
+
+  private static final String NAME = "name";
+  private static final String LISTEN_ADDRESS = "listen";
+  private static final String DISCOVERY_ADDRESS = "discovery";
+  private static final String COUNTER_ADDRESS = "counter";
+  private static final String SEED = "seed";
+  private static final String KNOWN_ENDPOINTS = "known";
+  private static final String SETTINGS = "settings";
+  private static final String GATEWAY_NUMBER = "my-number";
+  private static final String GATEWAY_COUNT = "siblings";
+
+  /** The name of the node with a number. */
+  static String nodeName(int gatewayNumber) {
+    return "n" + gatewayNumber;
+  }
+
+  /** The same configuration with discovery at another {@code host:port}. */
+  public NodeConfig withDiscoveryAddress(String newDiscoveryAddress) {
+    return new NodeConfig(
+        gatewayNumber, gatewayCount, port, newDiscoveryAddress, counterAddress, knownEndpoints);
+  }
+
+  /** The configuration file's text. */
+  String toJson() throws IOException {
+    try (InputStream template = NodeConfig.class.getResourceAsStream(TEMPLATE)) {
+      ObjectNode root = (ObjectNode) JSON.readTree(template);
+      root.put(NAME, nodeName(gatewayNumber))
+          .put(LISTEN_ADDRESS, "127.0.0.1:" + port)
+          .put(DISCOVERY_ADDRESS, discoveryAddress)
+          .put(COUNTER_ADDRESS, counterAddress)
+          .put(SEED, String.format("%016x", SEED_STEP * (gatewayNumber + 1)));
+      root.set(KNOWN_ENDPOINTS, JSON.readTree(knownEndpoints));
+      ((ObjectNode) root.get(SETTINGS))
+          .put(GATEWAY_NUMBER, gatewayNumber)
+          .put(GATEWAY_COUNT, gatewayCount);
+      return root.toString();
+    }
+  }
+}
--- /dev/null
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
@@ -0,0 +1,150 @@
+package merlinrouter.emulator.invariant;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.emulator.request.Attempt;
+import merlinrouter.emulator.request.ClientOutcome;
+import merlinrouter.emulator.request.RequestClass;
+import merlinrouter.emulator.request.RequestRecord;
+
+/** Checks the requests of a run against the invariants. Any thread may call. */
+public final class InvariantChecker {
+  private static final int STATUS_OK = 200;
+
+  private static final long MAX_LATE_RESPONSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long MAX_INCOMPLETE_REQUEST_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long MAX_ATTEMPT_AFTER_END_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long MAX_EXCESS_TIMEOUT_MILLIS = 150;
+
+  /** Time within which a node must know a change that a reachable discovery has published. */
+  private static final long MAX_DISCOVERY_DELAY_NANOS = TimeUnit.SECONDS.toNanos(6);
+
+  /** Time during which a node that knows of the draining may still forward requests. */
+  private static final long DRAIN_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
+
+  private final long emulatorDelayNanos;
+
+  /** From when on discovery could tell that an endpoint drains, by the endpoint's id. */
+  private final Map<String, Long> drainingPublishedAtNanos = new ConcurrentHashMap<>();
+
+  /**
+   * Creates a checker.
+   *
+   * @param emulatorDelayMillis allowance for delays of the emulator's own threads when they take
+   *     the time of an event
+   */
+  public InvariantChecker(long emulatorDelayMillis) {
+    emulatorDelayNanos = TimeUnit.MILLISECONDS.toNanos(emulatorDelayMillis);
+  }
+
+  /**
+   * Records that an endpoint began to drain.
+   *
+   * @param publishedAtNanos when a reachable discovery published it
+   */
+  public void endpointDraining(String endpointId, long publishedAtNanos) {
+    drainingPublishedAtNanos.put(endpointId, publishedAtNanos);
+  }
+
+  /**
+   * Records that discovery can be reached again: changes that it could not tell in time before the
+   * outage count as published now.
+   */
+  public void discoveryRecovered(long outageStartNanos, long nowNanos) {
+    drainingPublishedAtNanos.replaceAll(
+        (endpointId, publishedAtNanos) ->
+            publishedAtNanos + MAX_DISCOVERY_DELAY_NANOS > outageStartNanos
+                ? Math.max(publishedAtNanos, nowNanos)
+                : publishedAtNanos);
+  }
+
+  /** Returns what a request violates. */
+  public List<Violation> check(RequestRecord request) {
+    List<Violation> violations = new ArrayList<>();
+    if (request.isIncomplete()) {
+      checkIncompleteRequest(request, violations);
+    } else {
+      checkEnd(request, violations);
+    }
+    boolean mayHaveBeenExecuted = false;
+    for (Attempt attempt : request.attempts()) {
+      checkAttempt(request, attempt, violations);
+      if (mayHaveBeenExecuted && request.requestClass() == RequestClass.NON_IDEMPOTENT) {
+        violations.add(violation(Invariant.NON_IDEMPOTENT_NOT_RETRIED, request));
+      }
+      mayHaveBeenExecuted = !attempt.provesNotExecuted();
+    }
+    return violations;
+  }
+
+  private void checkIncompleteRequest(RequestRecord request, List<Violation> violations) {
+    boolean served = request.status() == STATUS_OK || !request.attempts().isEmpty();
+    boolean notEnded = request.outcome() == ClientOutcome.NO_RESPONSE;
+    boolean late = latencyNanos(request) > MAX_INCOMPLETE_REQUEST_NANOS + emulatorDelayNanos;
+    if (served || notEnded || late) {
+      violations.add(violation(Invariant.INCOMPLETE_REQUEST_ENDED, request));
+    }
+  }
+
+  private void checkEnd(RequestRecord request, List<Violation> violations) {
+    switch (request.outcome()) {
+      case NO_RESPONSE -> violations.add(violation(Invariant.RESPONSE_IN_TIME, request));
+      case RESPONDED -> checkResponse(request, violations);
+      case CONNECTION_CLOSED -> {
+        // A node may close an idle connection while a request that it has not read is on its way.
+        boolean raced = request.isConnectionReused() && request.attempts().isEmpty();
+        if (!raced) {
+          violations.add(violation(Invariant.NO_CLOSE_WITHOUT_RESPONSE, request));
+        }
+      }
+      default -> {
+        // Nothing is owed to a client that disconnected or never sent its request.
+      }
+    }
+  }
+
+  private void checkResponse(RequestRecord request, List<Violation> violations) {
+    long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(request.timeoutMillis());
+    long maxLatencyNanos = timeoutNanos + MAX_LATE_RESPONSE_NANOS + emulatorDelayNanos;
+    if (latencyNanos(request) > maxLatencyNanos) {
+      violations.add(violation(Invariant.RESPONSE_IN_TIME, request));
+    }
+    if (request.status() == STATUS_OK && !request.body().equals(request.expectedBody())) {
+      violations.add(
+          new Violation(Invariant.OWN_RESPONSE_ONLY, request + " received " + request.body()));
+    }
+  }
+
+  private void checkAttempt(RequestRecord request, Attempt attempt, List<Violation> violations) {
+    long receivedAtNanos = attempt.receivedAtNanos();
+    if (request.hasEnded()
+        && receivedAtNanos - request.endedAtNanos()
+            > MAX_ATTEMPT_AFTER_END_NANOS + emulatorDelayNanos) {
+      violations.add(violation(Invariant.NO_ATTEMPT_AFTER_END, request));
+    }
+    long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(receivedAtNanos - request.sentAtNanos());
+    long remainingMillis = request.timeoutMillis() - elapsedMillis;
+    long slackMillis =
+        MAX_EXCESS_TIMEOUT_MILLIS + TimeUnit.NANOSECONDS.toMillis(emulatorDelayNanos);
+    if (attempt.forwardedTimeoutMillis() > remainingMillis + slackMillis) {
+      violations.add(violation(Invariant.FORWARDED_TIMEOUT_WITHIN_DEADLINE, request));
+    }
+    Long publishedAtNanos = drainingPublishedAtNanos.get(attempt.endpointId());
+    if (publishedAtNanos != null
+        && receivedAtNanos - publishedAtNanos
+            > MAX_DISCOVERY_DELAY_NANOS + DRAIN_GRACE_NANOS + emulatorDelayNanos) {
+      violations.add(violation(Invariant.NOT_FORWARDED_TO_DRAINING, request));
+    }
+  }
+
+  private static long latencyNanos(RequestRecord request) {
+    return request.endedAtNanos() - request.sentAtNanos();
+  }
+
+  private static Violation violation(Invariant invariant, RequestRecord request) {
+    return new Violation(invariant, request.toString());
+  }
+}
--- a/emulator/src/main/java/merlinrouter/emulator/HttpMessage.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/HttpMessage.java
@@ -1,23 +1,31 @@
-package merlinrouter.emulator;
+package merlinrouter.emulator.peer;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * An HTTP/1.1 message with a length, as the emulator's peers read it from a blocking stream.
+ * An HTTP/1.1 message with a content length, read from and written to blocking streams.
  *
  * @param startLine the request line or the status line
  * @param headers values by lower-case name; the last value of a repeated header counts
  * @param body the body's bytes as Latin-1 text
  */
-record HttpMessage(String startLine, Map<String, String> headers, String body) {
-  /** Reads one message; null where the stream ends before its first byte. */
-  static HttpMessage read(InputStream in) throws IOException {
+public record HttpMessage(String startLine, Map<String, String> headers, String body) {
+  /** The status line's part of a successful response. */
+  static final String STATUS_OK = "200 OK";
+
+  /**
+   * Reads one message; null where the stream ends before its first byte.
+   *
+   * @throws IOException if the stream fails, ends within the message, or holds no message
+   */
+  public static HttpMessage read(InputStream in) throws IOException {
     String startLine = readLine(in);
     if (startLine == null) {
       return null;
@@ -40,15 +48,38 @@
   }
 
   /** The status code of a response. */
-  int status() {
+  public int status() {
     return Integer.parseInt(startLine.split(" ")[1]);
   }
 
   /** The path of a request with its query. */
-  String path() {
+  public String path() {
     return startLine.split(" ")[1];
   }
 
+  /** The value of a header, whose name may be in any case. */
+  public String header(String name, String defaultValue) {
+    return headers.getOrDefault(name.toLowerCase(Locale.ROOT), defaultValue);
+  }
+
+  /**
+   * The text of a response with a content length.
+   *
+   * @param status code and reason
+   * @param headerLines further header lines, each with its line end
+   * @param body the body as Latin-1 text
+   */
+  static String response(String status, String headerLines, String body) {
+    return String.format(
+        "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headerLines, body.length(), body);
+  }
+
+  /** Writes Latin-1 text. */
+  static void write(OutputStream out, String text) throws IOException {
+    out.write(text.getBytes(StandardCharsets.ISO_8859_1));
+    out.flush();
+  }
+
   private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int next = in.read(); next != '\n'; next = in.read()) {
--- /dev/null
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/LoopbackServer.java
@@ -0,0 +1,94 @@
+package merlinrouter.emulator.peer;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+
+/** A TCP server on a loopback port of its own, with one thread for each connection. */
+public abstract class LoopbackServer implements AutoCloseable {
+  private static final int BACKLOG_CONNECTIONS = 1_024;
+  private static final long RESET_POLL_MILLIS = 1;
+
+  private final ServerSocket serverSocket = new ServerSocket();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+
+  /** Binds to a free port; {@link #start} begins to accept. */
+  LoopbackServer() throws IOException {
+    serverSocket.bind(
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG_CONNECTIONS);
+  }
+
+  /** Begins to accept; called once, when the subclass is complete. */
+  final void start() {
+    BackgroundThreads.start(getClass().getSimpleName(), this::acceptConnections);
+  }
+
+  /** Serves one connection until it ends. */
+  abstract void serve(Socket socket) throws IOException, InterruptedException;
+
+  /** The address as {@code host:port}. */
+  public final String address() {
+    return "127.0.0.1:" + port();
+  }
+
+  /** The port that it listens on. */
+  public final int port() {
+    return serverSocket.getLocalPort();
+  }
+
+  /** How many connections are open. */
+  public final int openConnections() {
+    return openSockets.size();
+  }
+
+  /** Resets all open connections. */
+  public final void resetConnections() {
+    openSockets.forEach(LoopbackServer::reset);
+  }
+
+  /** Resets all open connections and waits until the last reset has been sent. */
+  public final void resetConnectionsAndWait() throws InterruptedException {
+    resetConnections();
+    while (!openSockets.isEmpty()) {
+      // A thread that still reads holds its socket open until it has been woken.
+      Thread.sleep(RESET_POLL_MILLIS);
+    }
+  }
+
+  /** Ends a connection with a reset instead of an orderly close. */
+  static void reset(Socket socket) {
+    try {
+      socket.setSoLinger(true, 0);
+      socket.close();
+    } catch (IOException ignored) {
+      // It is closed already.
+    }
+  }
+
+  private void acceptConnections() throws IOException {
+    while (!serverSocket.isClosed()) {
+      Socket socket = serverSocket.accept();
+      socket.setTcpNoDelay(true);
+      openSockets.add(socket);
+      BackgroundThreads.start(
+          getClass().getSimpleName() + " connection",
+          () -> {
+            try (socket) {
+              serve(socket);
+            } finally {
+              openSockets.remove(socket);
+            }
+          });
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    serverSocket.close();
+    resetConnections();
+  }
+}
--- /dev/null
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
@@ -0,0 +1,56 @@
+package merlinrouter.emulator.soak;
+
+/**
+ * What may happen in a soak test. The names are values of the command line; their order is part of
+ * what a seed determines.
+ */
+enum FaultKind {
+  /** A node's accepts fail. */
+  ACCEPT_FAILS,
+  /** A node cannot create sockets. */
+  SOCKET_FAILS,
+  /** A node's connects fail by the node's own fault. */
+  CONNECT_FAILS,
+  /** A node's reads and waits for events are interrupted by signals. */
+  READS_INTERRUPTED,
+  /** A node's reads and writes move only some bytes. */
+  SHORT_CALLS,
+  /** A node's wall clock steps by up to an hour. */
+  CLOCK_STEPS,
+  /** A node's process is paused for a moment. */
+  NODE_HELD,
+  /** A node reloads its configuration. */
+  NODE_RELOADED,
+  /** A node shuts down gracefully and starts again. */
+  NODE_RESTARTED,
+  /** An upstream server does not respond. */
+  SERVER_HANGS,
+  /** An upstream server responds with errors. */
+  SERVER_ERRS,
+  /** An upstream server rejects requests before it executes them. */
+  SERVER_TURNS_AWAY,
+  /** An upstream server resets connections before it responds. */
+  SERVER_RESETS,
+  /** An upstream server truncates its responses. */
+  SERVER_CUTS_SHORT,
+  /** An upstream server responds without a content length. */
+  SERVER_GIVES_NO_LENGTH,
+  /** An upstream server resets all its connections at once. */
+  SERVER_DROPS_CONNECTIONS,
+  /** An upstream server begins to drain and another one starts. */
+  SERVER_REPLACED,
+  /** The network in front of an upstream server is a black hole. */
+  LINK_SILENT,
+  /** The network in front of an upstream server fragments what it forwards. */
+  LINK_IN_PIECES,
+  /** The network in front of an upstream server delays what it forwards. */
+  LINK_SLOW,
+  /** Discovery is unresponsive. */
+  DISCOVERY_SILENT,
+  /** Discovery's watches are reset. */
+  WATCHES_RESET,
+  /** The quota counter is unresponsive. */
+  COUNTER_SILENT,
+  /** The quota counter's connections are reset. */
+  COUNTER_RESET
+}
--- /dev/null
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakUpstreams.java
@@ -0,0 +1,63 @@
+package merlinrouter.emulator.soak;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicReference;
+import merlinrouter.emulator.fleet.Fleet;
+import merlinrouter.emulator.invariant.InvariantChecker;
+import merlinrouter.emulator.peer.EndpointEntry;
+import merlinrouter.emulator.peer.UpstreamServer;
+import merlinrouter.emulator.peer.UpstreamServer.Behavior;
+import merlinrouter.emulator.peer.UpstreamServer.Reaction;
+
+/** The upstream servers that take requests in a soak test. Used by one thread. */
+final class SoakUpstreams {
+  private static final long RESPONSE_DELAY_MILLIS = 15;
+  private static final long STARTED_LONG_AGO = 0;
+
+  /**
+   * An upstream server whose behavior can be changed by any thread.
+   *
+   * @param server the server
+   * @param behavior what it does with requests
+   */
+  record Upstream(UpstreamServer server, AtomicReference<Behavior> behavior) {}
+
+  private final Fleet fleet;
+  private final InvariantChecker checker;
+  private final List<Upstream> ready = new ArrayList<>();
+
+  /** Starts upstream servers that are published as started long ago. */
+  SoakUpstreams(Fleet fleet, InvariantChecker checker, int count) throws IOException {
+    this.fleet = fleet;
+    this.checker = checker;
+    for (int i = 0; i < count; i++) {
+      add(STARTED_LONG_AGO);
+    }
+  }
+
+  private void add(long startedAtUnixMillis) throws IOException {
+    AtomicReference<Behavior> behavior = new AtomicReference<>(Behavior.RESPOND);
+    UpstreamServer server =
+        fleet.addUpstream(
+            requestId -> new Reaction(behavior.get(), RESPONSE_DELAY_MILLIS), startedAtUnixMillis);
+    ready.add(new Upstream(server, behavior));
+  }
+
+  /** One of the servers that are not draining. */
+  Upstream pick(int selector) {
+    return ready.get(selector % ready.size());
+  }
+
+  /** Has a server drain and starts another one; keeps the last server. */
+  void replace(Upstream old) throws IOException {
+    if (ready.size() == 1) {
+      return;
+    }
+    ready.remove(old);
+    checker.endpointDraining(old.server().id(), System.nanoTime());
+    fleet.publish(old.server(), EndpointEntry.State.DRAINING, STARTED_LONG_AGO);
+    add(System.currentTimeMillis());
+  }
+}
