--- a/emulator/src/main/c/faultshim.c
+++ b/emulator/src/main/c/faultshim.c
@@ -1,13 +1,9 @@
 /*
- * System-call fault injection for a process under test, loaded with LD_PRELOAD.
+ * Injects faults into the system calls and the wall clock of the process that loads this library with LD_PRELOAD.
  *
- * FAULT_SHIM_CONTROL names a file of 64-bit slots that the emulator maps and writes while the process runs.
- * Slot 0 is added to the wall clock, in nanoseconds. Behind it each fault has four slots:
- *   next   how many of the following calls fail, counted down
- *   every  if above 0, each call whose number is a multiple of this fails too
- *   error  the errno to fail with (for short reads and writes: the most bytes that one call moves)
- *   hits   how many calls have failed so far
- * The monotonic clock is never touched.
+ * FAULT_SHIM_CONTROL names a control file, which the emulator maps and writes while the process runs. It holds a
+ * struct control in native byte order; merlinrouter.emulator.fleet.FaultShim knows the same layout. Without the
+ * variable or the file nothing is injected. The monotonic clock is never changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,18 +22,22 @@
 #include <time.h>
 #include <unistd.h>
 
+#define NANOS_PER_SECOND 1000000000LL
+#define MICROS_PER_SECOND 1000000LL
+#define NANOS_PER_MICRO 1000LL
+
 enum fault { ACCEPT, SOCKET, CONNECT, EPOLL_WAIT, SHORT_READ, SHORT_WRITE, READ, WRITE, BIND, OPEN, FAULT_COUNT };
 
-struct slot {
-  int64_t next;
-  int64_t every;
-  int64_t error;
-  int64_t hits;
+struct fault_slot {
+  int64_t remaining; /* so many of the following calls fail; counted down */
+  int64_t interval;  /* if above 0, each call whose number is a multiple of this fails too */
+  int64_t parameter; /* the errno to fail with; for SHORT_READ and SHORT_WRITE the maximum of bytes that a call moves */
+  int64_t injected;  /* how many times the fault has been injected so far */
 };
 
 struct control {
-  int64_t wall_offset_ns;
-  struct slot slots[FAULT_COUNT];
+  int64_t wall_clock_offset_ns; /* added to the wall clock */
+  struct fault_slot slots[FAULT_COUNT];
 };
 
 static struct control *control;
@@ -63,30 +63,32 @@
   return dlsym(RTLD_NEXT, name);
 }
 
-/* Whether this call fails; takes one from the count of calls that are still to fail. */
-static int strikes(enum fault fault) {
+/* Counts a call and tells whether the fault is injected into it. */
+static int is_injected(enum fault fault) {
   if (control == NULL) {
     return 0;
   }
-  struct slot *slot = &control->slots[fault];
-  int64_t number = __atomic_add_fetch(&calls[fault], 1, __ATOMIC_RELAXED);
-  int64_t every = __atomic_load_n(&slot->every, __ATOMIC_RELAXED);
-  int strikes = every > 0 && number % every == 0;
-  if (!strikes && __atomic_load_n(&slot->next, __ATOMIC_RELAXED) > 0) {
-    strikes = __atomic_fetch_sub(&slot->next, 1, __ATOMIC_RELAXED) > 0;
+  struct fault_slot *slot = &control->slots[fault];
+  int64_t call_number = __atomic_add_fetch(&calls[fault], 1, __ATOMIC_RELAXED);
+  int64_t interval = __atomic_load_n(&slot->interval, __ATOMIC_RELAXED);
+  int injected = interval > 0 && call_number % interval == 0;
+  if (!injected && __atomic_load_n(&slot->remaining, __ATOMIC_RELAXED) > 0) {
+    /* Another thread may have taken the last one since. */
+    injected = __atomic_fetch_sub(&slot->remaining, 1, __ATOMIC_RELAXED) > 0;
   }
-  if (strikes) {
-    __atomic_add_fetch(&slot->hits, 1, __ATOMIC_RELAXED);
+  if (injected) {
+    __atomic_add_fetch(&slot->injected, 1, __ATOMIC_RELAXED);
   }
-  return strikes;
+  return injected;
 }
 
 static int64_t parameter(enum fault fault) {
-  return __atomic_load_n(&control->slots[fault].error, __ATOMIC_RELAXED);
+  return __atomic_load_n(&control->slots[fault].parameter, __ATOMIC_RELAXED);
 }
 
+/* Whether this call fails; sets errno if so. */
 static int fails(enum fault fault) {
-  if (!strikes(fault)) {
+  if (!is_injected(fault)) {
     return 0;
   }
   errno = (int) parameter(fault);
@@ -119,56 +121,60 @@
   return is_tcp(fd) && fails(BIND) ? -1 : REAL(bind)(fd, address, length);
 }
 
-/* Only a configuration's opening fails: the platform's own files are not what is under test. */
+/* Only opening a configuration file fails: the JVM's own files are not under test. */
 static int is_configuration(const char *path) {
+  static const char suffix[] = ".json";
+  size_t suffix_length = sizeof(suffix) - 1;
   size_t length = strlen(path);
-  return length > 5 && strcmp(path + length - 5, ".json") == 0;
+  return length > suffix_length && strcmp(path + length - suffix_length, suffix) == 0;
 }
 
-static mode_t mode_of(int flags, va_list rest) {
-  return flags & (O_CREAT | O_TMPFILE) ? (mode_t) va_arg(rest, int) : 0;
+/* The third argument of open, which callers pass only where a file may be created. */
+static mode_t mode_of(int flags, va_list arguments) {
+  return flags & (O_CREAT | O_TMPFILE) ? (mode_t) va_arg(arguments, int) : 0;
 }
 
 int open(const char *path, int flags, ...) {
-  va_list rest;
-  va_start(rest, flags);
-  mode_t mode = mode_of(flags, rest);
-  va_end(rest);
+  va_list arguments;
+  va_start(arguments, flags);
+  mode_t mode = mode_of(flags, arguments);
+  va_end(arguments);
   return is_configuration(path) && fails(OPEN) ? -1 : REAL(open)(path, flags, mode);
 }
 
 int open64(const char *path, int flags, ...) {
-  va_list rest;
-  va_start(rest, flags);
-  mode_t mode = mode_of(flags, rest);
-  va_end(rest);
+  va_list arguments;
+  va_start(arguments, flags);
+  mode_t mode = mode_of(flags, arguments);
+  va_end(arguments);
   return is_configuration(path) && fails(OPEN) ? -1 : REAL(open64)(path, flags, mode);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-  return fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, most, timeout);
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+  return fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
-static size_t bounded(enum fault fault, size_t length) {
-  if (length < 2 || !strikes(fault)) {
+/* How many of length bytes this call moves; never 0, which would stand for the end of a stream. */
+static size_t limited(enum fault fault, size_t length) {
+  if (length < 2 || !is_injected(fault)) {
     return length;
   }
-  size_t most = (size_t) parameter(fault);
-  return most > 0 && most < length ? most : length;
+  size_t max_bytes = (size_t) parameter(fault);
+  return max_bytes > 0 && max_bytes < length ? max_bytes : length;
 }
 
 ssize_t read(int fd, void *bytes, size_t length) {
   if (!is_tcp(fd)) {
     return REAL(read)(fd, bytes, length);
   }
-  return fails(READ) ? -1 : REAL(read)(fd, bytes, bounded(SHORT_READ, length));
+  return fails(READ) ? -1 : REAL(read)(fd, bytes, limited(SHORT_READ, length));
 }
 
 ssize_t write(int fd, const void *bytes, size_t length) {
   if (!is_tcp(fd)) {
     return REAL(write)(fd, bytes, length);
   }
-  return fails(WRITE) ? -1 : REAL(write)(fd, bytes, bounded(SHORT_WRITE, length));
+  return fails(WRITE) ? -1 : REAL(write)(fd, bytes, limited(SHORT_WRITE, length));
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
@@ -178,20 +184,21 @@
   if (fails(WRITE)) {
     return -1;
   }
-  size_t most = bounded(SHORT_WRITE, parts[0].iov_len);
-  return most < parts[0].iov_len ? REAL(write)(fd, parts[0].iov_base, most) : REAL(writev)(fd, parts, count);
+  size_t length = parts[0].iov_len;
+  size_t allowed = limited(SHORT_WRITE, length);
+  return allowed < length ? REAL(write)(fd, parts[0].iov_base, allowed) : REAL(writev)(fd, parts, count);
 }
 
-static int64_t wall_offset(void) {
-  return control == NULL ? 0 : __atomic_load_n(&control->wall_offset_ns, __ATOMIC_RELAXED);
+static int64_t wall_clock_offset_ns(void) {
+  return control == NULL ? 0 : __atomic_load_n(&control->wall_clock_offset_ns, __ATOMIC_RELAXED);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
   int result = REAL(clock_gettime)(clock, now);
   if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-    int64_t moved = now->tv_sec * 1000000000LL + now->tv_nsec + wall_offset();
-    now->tv_sec = moved / 1000000000LL;
-    now->tv_nsec = moved % 1000000000LL;
+    int64_t nanos = now->tv_sec * NANOS_PER_SECOND + now->tv_nsec + wall_clock_offset_ns();
+    now->tv_sec = nanos / NANOS_PER_SECOND;
+    now->tv_nsec = nanos % NANOS_PER_SECOND;
   }
   return result;
 }
@@ -199,9 +206,9 @@
 int gettimeofday(struct timeval *restrict now, void *restrict zone) {
   int result = REAL(gettimeofday)(now, zone);
   if (result == 0) {
-    int64_t moved = now->tv_sec * 1000000LL + now->tv_usec + wall_offset() / 1000;
-    now->tv_sec = moved / 1000000LL;
-    now->tv_usec = moved % 1000000LL;
+    int64_t micros = now->tv_sec * MICROS_PER_SECOND + now->tv_usec + wall_clock_offset_ns() / NANOS_PER_MICRO;
+    now->tv_sec = micros / MICROS_PER_SECOND;
+    now->tv_usec = micros % MICROS_PER_SECOND;
   }
   return result;
 }
