--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -1,6 +1,5 @@
 package merlinrouter.node;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -23,16 +22,23 @@
 import merlinrouter.model.EndpointState;
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.config.EndpointEntry;
+import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.counter.CounterClient;
 import merlinrouter.node.discovery.DiscoveryClient;
+import merlinrouter.node.discovery.EndpointListListener;
 import merlinrouter.node.discovery.EndpointStartTimes;
 import merlinrouter.node.downstream.ClientListener;
 import merlinrouter.node.downstream.MemoryBudget;
+import merlinrouter.node.downstream.RequestHandler;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.InvariantGuard;
 import merlinrouter.node.request.OpenRequest;
 import merlinrouter.node.transport.PollTimestamps;
+import merlinrouter.node.upstream.AttemptListener;
+import merlinrouter.node.upstream.CompletedAttempt;
 import merlinrouter.node.upstream.UpstreamPool;
 import merlinrouter.settings.RequestClass;
 
@@ -41,7 +47,12 @@
  * back. All of it runs on one event loop thread, so nothing here is locked and the module's
  * contract of one caller holds.
  */
-public final class EdgeNode implements GatewayActions, AutoCloseable {
+public final class EdgeNode
+    implements GatewayActions,
+        RequestHandler,
+        AttemptListener,
+        EndpointListListener,
+        AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -106,11 +117,11 @@
     this.config = config;
     this.log = log;
     guard = new InvariantGuard(log);
-    budget = new MemoryBudget(config.memory());
+    budget = new MemoryBudget(config.memoryLimitBytes());
     startTimes = new EndpointStartTimes(config.settings().rules().slowStartDurationNanos(), log);
-    pool = new UpstreamPool(this, loop, config);
+    pool = new UpstreamPool(this, loop, config, log);
     counter = new CounterClient(this::counted, loop, config);
-    discovery = new DiscoveryClient(this, loop, config);
+    discovery = new DiscoveryClient(this, loop, config, log);
     clients = new ClientListener(this, loop, config, budget);
   }
 
@@ -121,8 +132,8 @@
               gateway = new Gateway(config.settings(), config.seed(), now(), this);
               loop.scheduleAtFixedRate(
                   this::housekeeping, CLOCK_LOOK, CLOCK_LOOK, TimeUnit.NANOSECONDS);
-              list(config.known(), EndpointUpdateType.CACHED);
-              discovery.start(config.known().revision());
+              endpointsUpdated(config.knownEndpoints(), EndpointUpdateType.CACHED);
+              discovery.start(config.knownEndpoints().revision());
               if (early != null) {
                 move(early);
               }
@@ -148,24 +159,26 @@
 
   /** How many clients' connections are open. */
   int connections() throws Exception {
-    return clients.connections();
+    return clients.connectionCount();
   }
 
   public EventLoop loop() {
     return loop;
   }
 
+  @Override
   public InvariantGuard guard() {
     return guard;
   }
 
+  @Override
   public NodeLog log() {
     return log;
   }
 
   /** How many bytes clients' requests hold. */
   long held() {
-    return budget.used();
+    return budget.usedBytes();
   }
 
   /**
@@ -173,11 +186,11 @@
    * listens.
    */
   int unread() {
-    return clients.unread();
+    return clients.readingPausedCount();
   }
 
   boolean listens() {
-    return clients.listens();
+    return clients.isListening();
   }
 
   UpstreamPool pool() {
@@ -216,7 +229,7 @@
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.execute(
         () -> {
-          long grace = clients.closeAfterAnswers() ? DRAIN_GRACE : 0;
+          long grace = clients.startDraining() ? DRAIN_GRACE : 0;
           // The second task comes after one more look at the sockets: who came before the first is
           // let in.
           loop.schedule(
@@ -233,16 +246,16 @@
   }
 
   long now() {
-    return at(System.nanoTime());
+    return toGatewayTime(System.nanoTime());
   }
 
-  /** A moment of the system's clock that never jumps, by the module's. */
-  public long at(long nanoTime) {
+  @Override
+  public long toGatewayTime(long nanoTime) {
     return nanoTime + clockOffset;
   }
 
-  /** Whatever a socket brings now came after this moment, however long the loop was held since. */
-  public long lookedBefore() {
+  @Override
+  public long previousPollNanos() {
     return looks.before();
   }
 
@@ -261,7 +274,7 @@
       call.accept(eventAt);
     } catch (RuntimeException e) {
       // One request's trouble must not end the process, nor leave that request without an answer.
-      trouble("the module failed", e);
+      ErrorLog.report("the module failed", e);
       if (about != null) {
         fail(about);
         // The module must not go on counting it; an attempt that is out still ends.
@@ -273,26 +286,26 @@
   }
 
   public static void trouble(String what, Throwable e) {
-    StackTraceElement[] at = e.getStackTrace();
-    System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
+    ErrorLog.report(what, e);
   }
 
   /** The list of app servers, or changes to it. */
-  public void list(NodeConfig.Roll roll, EndpointUpdateType kind) {
+  @Override
+  public void endpointsUpdated(EndpointList roll, EndpointUpdateType kind) {
     List<Endpoint> told = pool.update(withMonotonicStarts(roll), kind != EndpointUpdateType.DELTA);
     event(null, now -> gateway.endpointsUpdated(now, kind, told));
   }
 
-  private NodeConfig.Roll withMonotonicStarts(NodeConfig.Roll roll) {
+  private EndpointList withMonotonicStarts(EndpointList roll) {
     lookAtClocks();
     long now = now();
-    List<NodeConfig.Member> members = new ArrayList<>();
+    List<EndpointEntry> members = new ArrayList<>();
     Set<String> named = new HashSet<>();
-    for (NodeConfig.Member member : roll.members()) {
-      Endpoint server = member.server();
+    for (EndpointEntry member : roll.entries()) {
+      Endpoint server = member.endpoint();
       named.add(server.id());
       long started = startTimes.momentOf(server.id(), server.startedAtNanos(), now);
-      members.add(new NodeConfig.Member(server.withStartedAtNanos(started), member.address()));
+      members.add(new EndpointEntry(server.withStartedAtNanos(started), member.address()));
       if (server.state() == EndpointState.REMOVED) {
         startTimes.forget(server.id());
       }
@@ -300,7 +313,7 @@
     if (roll.complete()) {
       startTimes.retain(named);
     }
-    return new NodeConfig.Roll(roll.revision(), roll.complete(), members);
+    return new EndpointList(roll.revision(), roll.complete(), members);
   }
 
   private void lookAtClocks() {
@@ -310,18 +323,19 @@
   /**
    * Whether discovery has been heard, or has been silent for so long that the known list must do.
    */
-  public boolean ready() {
+  @Override
+  public boolean isReady() {
     return discovery.heard();
   }
 
-  /** The deadline that the module is told, for a client that waits {@code span} from now. */
+  @Override
   public long deadline(long now, long span) {
     long margin = Math.max(WAY_OUT, Math.min((long) (HELD / config.cores()), span / MARGIN_PART));
     return now + Math.max(MS, span - margin);
   }
 
-  /** Takes a request; false if its id is that of one still open. */
-  public boolean take(OpenRequest taken) {
+  @Override
+  public boolean accept(OpenRequest taken) {
     if (open.putIfAbsent(taken.request.id(), taken) != null) {
       return false;
     }
@@ -344,8 +358,8 @@
     }
   }
 
-  /** The client left before its answer. */
-  public void clientGone(OpenRequest gone) {
+  @Override
+  public void clientDisconnected(OpenRequest gone) {
     if (gone.answerOnce() != null) {
       log.count(NodeLog.Event.CLIENT_LEFT);
       settle(gone);
@@ -354,15 +368,18 @@
   }
 
   /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
-  public void attemptEnded(
-      OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
+  @Override
+  public void attemptEnded(CompletedAttempt ended) {
+    OpenRequest of = ended.request();
+    Outcome outcome = ended.outcome();
+    long took = ended.durationNanos();
     of.attemptOut = false;
     guard.attemptEnded(of, outcome, now() - took);
     int attempt = of.attempts - 1;
     if (outcome == Outcome.OK) {
       OpenRequest.Answers answers = of.answerOnce();
       if (answers != null) {
-        answers.served(body);
+        answers.served(ended.body());
       }
     }
     boolean complete = of.answered;
@@ -372,7 +389,14 @@
             gateway.attemptEnded(
                 now,
                 new AttemptResult(
-                    of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
+                    of.request.id(),
+                    outcome,
+                    took,
+                    ended.endpointId(),
+                    complete,
+                    attempt,
+                    ended.chargedUnits(),
+                    List.of())));
     settle(of);
   }
 
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -29,8 +29,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.EndpointUpdateType;
-import merlinrouter.node.EdgeNode;
+import merlinrouter.node.config.EndpointList;
+import merlinrouter.node.config.EndpointListReader;
+import merlinrouter.node.config.InvalidConfigException;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.SettingNames;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
 
@@ -75,9 +79,10 @@
 
   private static final long PATIENCE_MS = 1_000;
 
-  private final EdgeNode node;
+  private final EndpointListListener listener;
+  private final NodeLog log;
   private final EventLoop loop;
-  private final NodeConfig.Names names;
+  private final SettingNames names;
   private final Bootstrap bootstrap;
   private final long mostBackoff, mutePatience;
 
@@ -94,8 +99,10 @@
   private boolean heard;
   private int opened;
 
-  public DiscoveryClient(EdgeNode node, EventLoop loop, NodeConfig config) {
-    this.node = node;
+  public DiscoveryClient(
+      EndpointListListener listener, EventLoop loop, NodeConfig config, NodeLog log) {
+    this.listener = listener;
+    this.log = log;
     this.loop = loop;
     names = config.names();
     address = config.discovery();
@@ -170,7 +177,7 @@
     }
     ChannelFuture connecting = bootstrap.connect(address);
     if (!Transport.hasChannel(connecting)) {
-      node.log().count(NodeLog.Event.LOCAL_CONNECT_FAILED);
+      log.count(NodeLog.Event.LOCAL_CONNECT_FAILED);
       watchAfter(FIRST_BACKOFF_MS);
       return;
     }
@@ -262,7 +269,7 @@
       } else if (!lists.isBetween() && unfinished == null) {
         unfinished =
             loop.schedule(
-                () -> spoilt(context, new NodeConfig.Invalid("discovery's list was cut")),
+                () -> spoilt(context, new InvalidConfigException("discovery's list was cut")),
                 UNFINISHED_MS,
                 TimeUnit.MILLISECONDS);
       }
@@ -291,8 +298,10 @@
     if (!(cause instanceof ReadTimeoutException) && context.channel().isOpen()) {
       // What could not be read may be a megabyte of noise.
       boolean noise =
-          cause instanceof DecoderException && !(cause.getCause() instanceof NodeConfig.Invalid);
-      EdgeNode.trouble("discovery", noise ? new NodeConfig.Invalid("what came is no list") : cause);
+          cause instanceof DecoderException
+              && !(cause.getCause() instanceof InvalidConfigException);
+      ErrorLog.report(
+          "discovery", noise ? new InvalidConfigException("what came is no list") : cause);
     }
     context.close();
   }
@@ -312,12 +321,13 @@
   private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf text)
-        throws NodeConfig.Invalid {
+        throws InvalidConfigException {
       if (context.channel() != speaking || !context.channel().isOpen()) {
         return;
       }
-      NodeConfig.Roll roll = NodeConfig.roll(text.toString(StandardCharsets.UTF_8), names);
-      node.list(roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
+      EndpointList roll = EndpointListReader.parse(text.toString(StandardCharsets.UTF_8), names);
+      listener.endpointsUpdated(
+          roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
       revision = roll.revision();
       heard = true;
       backoff = FIRST_BACKOFF_MS;
--- a/src/test/java/merlinrouter/node/RaceConditionTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import merlinrouter.model.ClientRequest;
-import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.config.NodeConfigReader;
 import merlinrouter.node.request.OpenRequest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -130,7 +130,7 @@
     CompletableFuture<String> answer = new CompletableFuture<>();
     ClientRequest request =
         new ClientRequest(id, 1, 0, 7, node.deadline(node.now(), 20_000_000_000L), 1, 1, 0, false);
-    node.take(
+    node.accept(
         new OpenRequest(
             request,
             HttpMethod.POST,
@@ -574,7 +574,7 @@
    */
   @Test
   void aNodeToldToEndBeforeItsBindNeverServes() throws Exception {
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config()));
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config()));
     toClose.add(node);
     node.drain().get(20, TimeUnit.SECONDS);
     Thread starting =
@@ -597,9 +597,9 @@
   void aHangUpBeforeTheStartMovesTheFirstWatchOn() throws Exception {
     ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
     String config = config();
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config));
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config));
     toClose.add(node);
-    node.reload(NodeConfig.parse(config.replace(discovery.address(), elsewhere.address())));
+    node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
     node.start();
     assertTrue(elsewhere.next().first().contains("after=5"));
     until(node, () -> node.discovery().out() == 1);
@@ -690,7 +690,7 @@
         new PrintStream(usual) {
           @Override
           public void println(String line) {
-            if (line.startsWith("server shunned")) {
+            if (line.startsWith("endpoint is an outlier")) {
               while (System.nanoTime() - begun.get() < HOLD) {
                 Thread.onSpinWait();
               }
