--- a/src/main/java/merlinrouter/control/ConcurrencyController.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyController.java
@@ -79,7 +79,7 @@
     }
     for (ClassStatistics each : classes) {
       if (hasEnoughSamples(each)) {
-        each.serviceSamples().clear();
+        each.clearServiceSamples();
       }
     }
   }
@@ -99,12 +99,12 @@
   }
 
   private static boolean hasEnoughSamples(ClassStatistics statistics) {
-    return statistics.serviceSamples().size() >= MIN_SAMPLES;
+    return statistics.serviceSampleCount() >= MIN_SAMPLES;
   }
 
   private void adjustLevel(ClassStatistics tightest) {
     double objective = tightest.objectiveSeconds();
-    double inverseLatency = objective / slowServiceSeconds(tightest);
+    double inverseLatency = objective / tightest.serviceQuantileSeconds(SLOW_QUANTILE);
     double relativeLevel = level / limit;
     observe(inverseLatency, relativeLevel);
     double next =
@@ -118,12 +118,6 @@
     level = wholeAboveOne(next * limit);
   }
 
-  private static double slowServiceSeconds(ClassStatistics statistics) {
-    double[] sorted =
-        statistics.serviceSamples().stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    return sorted[(int) (SLOW_QUANTILE * (sorted.length - 1))];
-  }
-
   /** Fits the model on changes: a level that did not vary says nothing of its effect. */
   private void observe(double inverseLatency, double relativeLevel) {
     boolean changed = relativeLevel != previousRelativeLevel;
--- a/src/main/java/merlinrouter/settings/SettingsReader.java
+++ b/src/main/java/merlinrouter/settings/SettingsReader.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Function;
 import merlinrouter.model.DeduplicationScope;
 import merlinrouter.model.Idempotency;
 
@@ -58,8 +59,8 @@
         integer(SettingKeys.EVENT_INTERVAL_NANOS),
         !text(SettingKeys.WEIGHTS).equals(OFF),
         loadReportNames(),
-        requestClasses(),
-        quotaPlans(),
+        list(SettingKeys.REQUEST_CLASSES, this::requestClass),
+        list(SettingKeys.QUOTA_PLANS, this::quotaPlan),
         limits(),
         counter(),
         rules());
@@ -74,13 +75,14 @@
     return List.of(names.split(","));
   }
 
-  private List<RequestClass> requestClasses() {
-    List<RequestClass> classes = new ArrayList<>();
-    long count = integer(SettingKeys.REQUEST_CLASSES + SettingKeys.COUNT);
+  /** Reads the items of a list of objects, each from the prefix of its keys. */
+  private <T> List<T> list(String key, Function<String, T> itemReader) {
+    List<T> items = new ArrayList<>();
+    long count = integer(key + SettingKeys.COUNT);
     for (int i = 0; i < count; i++) {
-      classes.add(requestClass(SettingKeys.REQUEST_CLASSES + "." + i + "."));
+      items.add(itemReader.apply(key + "." + i + "."));
     }
-    return List.copyOf(classes);
+    return List.copyOf(items);
   }
 
   private RequestClass requestClass(String prefix) {
@@ -110,15 +112,6 @@
     };
   }
 
-  private List<QuotaPlan> quotaPlans() {
-    List<QuotaPlan> plans = new ArrayList<>();
-    long count = integer(SettingKeys.QUOTA_PLANS + SettingKeys.COUNT);
-    for (int i = 0; i < count; i++) {
-      plans.add(quotaPlan(SettingKeys.QUOTA_PLANS + "." + i + "."));
-    }
-    return List.copyOf(plans);
-  }
-
   private QuotaPlan quotaPlan(String prefix) {
     return new QuotaPlan(
         number(prefix + SettingKeys.UNITS_PER_SECOND),
--- a/src/main/java/merlinrouter/stats/ClassStatistics.java
+++ b/src/main/java/merlinrouter/stats/ClassStatistics.java
@@ -134,11 +134,24 @@
     return queueingSumSeconds;
   }
 
+  /** How many service times were sampled since they were last cleared. */
+  public int serviceSampleCount() {
+    return serviceSamples.size();
+  }
+
   /**
-   * Service times in seconds since they were last cleared, failures counted as slow. They may be
-   * collected over several intervals.
+   * A quantile of the sampled service times, in seconds; failures count as slow. The samples may
+   * have been collected over several intervals.
+   *
+   * @param quantile from 0 for the shortest to 1 for the longest
    */
-  public List<Double> serviceSamples() {
-    return serviceSamples;
+  public double serviceQuantileSeconds(double quantile) {
+    double[] sorted = serviceSamples.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    return sorted[(int) (quantile * (sorted.length - 1))];
+  }
+
+  /** Drops the sampled service times. */
+  public void clearServiceSamples() {
+    serviceSamples.clear();
   }
 }
