--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -26,6 +26,7 @@
 import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.counter.CounterClient;
+import merlinrouter.node.counter.CounterResult;
 import merlinrouter.node.discovery.DiscoveryClient;
 import merlinrouter.node.discovery.EndpointListListener;
 import merlinrouter.node.discovery.EndpointStartTimes;
@@ -120,7 +121,7 @@
     budget = new MemoryBudget(config.memoryLimitBytes());
     startTimes = new EndpointStartTimes(config.settings().rules().slowStartDurationNanos(), log);
     pool = new UpstreamPool(this, loop, config, log);
-    counter = new CounterClient(this::counted, loop, config);
+    counter = new CounterClient(this::counterCallEnded, loop, config);
     discovery = new DiscoveryClient(this, loop, config, log);
     clients = new ClientListener(this, loop, config, budget);
   }
@@ -400,8 +401,11 @@
     settle(of);
   }
 
-  private void counted(long name, Outcome outcome, double total) {
-    event(null, now -> gateway.counterCallEnded(now, name, outcome, total));
+  private void counterCallEnded(CounterResult result) {
+    event(
+        null,
+        now ->
+            gateway.counterCallEnded(now, result.counterKey(), result.outcome(), result.total()));
   }
 
   /** Forgets a request once it is answered and no attempt of it is out. */
@@ -478,7 +482,7 @@
 
   @Override
   public void addToCounter(long name, double amount, long lifetime) {
-    counter.count(name, amount, lifetime);
+    counter.add(name, amount, lifetime);
   }
 
   @Override
--- /dev/null
+++ b/src/main/java/merlinrouter/node/counter/CounterConnection.java
@@ -0,0 +1,164 @@
+package merlinrouter.node.counter;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpVersion;
+import java.net.SocketAddress;
+import java.util.ArrayDeque;
+import merlinrouter.node.http.ResponseDecoder;
+import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.transport.Transport;
+
+/**
+ * An HTTP/1.1 connection to the counter with pipelined calls, which are answered in their order.
+ * Used on the event loop only.
+ */
+final class CounterConnection extends ResponseHandler {
+  private static final int MAX_RESPONSE_BYTES = 1024;
+
+  /** A connection with a call unanswered for so many call timeouts leads nowhere. */
+  private static final int MAX_SILENT_TIMEOUTS = 10;
+
+  private final CounterShard shard;
+  private final long callTimeoutNanos;
+  private final ResponseDecoder decoder = new ResponseDecoder();
+  private final Channel channel;
+
+  /** Calls that were written and whose responses are due, in their order. */
+  private final ArrayDeque<CounterCall> pending = new ArrayDeque<>();
+
+  private boolean connected;
+  private boolean closed;
+
+  /** Begins to connect. */
+  CounterConnection(
+      CounterShard shard,
+      EventLoop loop,
+      Bootstrap bootstrap,
+      SocketAddress address,
+      long callTimeoutNanos) {
+    super(MAX_RESPONSE_BYTES);
+    this.shard = shard;
+    this.callTimeoutNanos = callTimeoutNanos;
+    ChannelFuture connecting = bootstrap.clone().handler(initializer()).connect(address);
+    channel = connecting.channel();
+    if (!Transport.hasChannel(connecting)) {
+      loop.execute(this::close);
+      return;
+    }
+    connecting.addListener(
+        done -> {
+          if (done.isSuccess()) {
+            connected = true;
+            shard.writeWaiting();
+          } else {
+            close();
+          }
+        });
+  }
+
+  private ChannelInitializer<Channel> initializer() {
+    return new ChannelInitializer<>() {
+      @Override
+      protected void initChannel(Channel created) {
+        created.pipeline().addLast(decoder, new HttpRequestEncoder(), CounterConnection.this);
+      }
+    };
+  }
+
+  boolean isActive() {
+    return channel.isActive();
+  }
+
+  int pendingCalls() {
+    return pending.size();
+  }
+
+  /** Writes a call without flushing it. */
+  void write(CounterCall call) {
+    call.attach(this);
+    pending.add(call);
+    DefaultFullHttpRequest message =
+        new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, call.uri());
+    message
+        .headers()
+        .set(HttpHeaderNames.HOST, CounterProtocol.HOST)
+        .set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    channel.write(message).addListener(written -> call.setWritten(written.isSuccess()));
+  }
+
+  void flush() {
+    channel.flush();
+  }
+
+  /**
+   * A call of this connection has timed out. The connection is given up if it is silent, if the
+   * call is still to be written and must not be any more, or if a response began, which will not be
+   * completed.
+   */
+  void callTimedOut(CounterCall call) {
+    CounterCall oldest = pending.peek();
+    boolean silent = oldest != null && oldest.ageNanos() > MAX_SILENT_TIMEOUTS * callTimeoutNanos;
+    if (!call.isWritten() || silent || !decoder.isBetween()) {
+      close();
+    } else {
+      closeIfReplacedAndDone();
+    }
+  }
+
+  /** A connection that was replaced is kept for the calls that are open on it, and no longer. */
+  void closeIfReplacedAndDone() {
+    boolean done = pending.isEmpty() || pending.peekLast().isEnded();
+    if (!shard.isCurrent(this) && done) {
+      close();
+      shard.writeWaiting();
+    }
+  }
+
+  /** Gives the connection up and ends its calls in their order; later calls need another one. */
+  void close() {
+    if (closed) {
+      return;
+    }
+    closed = true;
+    if (channel.isRegistered()) {
+      channel.close();
+    }
+    shard.detach(this);
+    while (!pending.isEmpty()) {
+      pending.poll().connectionLost();
+    }
+    shard.connectionClosed(connected);
+  }
+
+  @Override
+  protected boolean expectsAnswer() {
+    return !pending.isEmpty() && pending.peek().isWritten();
+  }
+
+  @Override
+  protected void answered(HttpResponse head, ByteBuf body) {
+    CounterCall call = pending.poll();
+    CounterResponse response = CounterResponse.of(head, body);
+    call.end(response.outcome(), response.total());
+    if (response.connectionUsable()) {
+      closeIfReplacedAndDone();
+    } else {
+      close();
+    }
+  }
+
+  @Override
+  protected void spoilt() {
+    close();
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/counter/CounterResponse.java
@@ -0,0 +1,36 @@
+package merlinrouter.node.counter;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpUtil;
+import java.nio.charset.StandardCharsets;
+import merlinrouter.model.Outcome;
+import merlinrouter.node.http.StrictDecimal;
+
+/**
+ * A complete response of the counter.
+ *
+ * @param outcome what it means for the call
+ * @param total the counter's total; 0 unless the outcome is {@link Outcome#OK}
+ * @param connectionUsable whether the connection may carry further calls
+ */
+record CounterResponse(Outcome outcome, double total, boolean connectionUsable) {
+
+  /** Reads a response; the body stays the caller's. */
+  static CounterResponse of(HttpResponse head, ByteBuf body) {
+    boolean keepAlive = HttpUtil.isKeepAlive(head);
+    return switch (head.status().code()) {
+      case 200 -> added(body, keepAlive);
+      case 503, 400, 404 -> new CounterResponse(Outcome.REJECTED, 0, keepAlive);
+      default -> new CounterResponse(Outcome.RESET, 0, false);
+    };
+  }
+
+  /** The amount was added. A malformed total leaves it unknown, and the connection is suspect. */
+  private static CounterResponse added(ByteBuf body, boolean keepAlive) {
+    double total = StrictDecimal.number(body.toString(StandardCharsets.US_ASCII).strip());
+    return Double.isNaN(total)
+        ? new CounterResponse(Outcome.RESET, 0, false)
+        : new CounterResponse(Outcome.OK, total, keepAlive);
+  }
+}
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -39,7 +39,13 @@
         loop.submit(
                 () ->
                     new CounterClient(
-                        (name, outcome, total) -> told.add(name + " " + outcome + " " + total),
+                        result ->
+                            told.add(
+                                result.counterKey()
+                                    + " "
+                                    + result.outcome()
+                                    + " "
+                                    + result.total()),
                         loop,
                         config))
             .get();
@@ -53,7 +59,7 @@
   }
 
   private void count(long name, double amount) {
-    loop.execute(() -> client.count(name, amount, LIFE));
+    loop.execute(() -> client.add(name, amount, LIFE));
   }
 
   private void assertTold(String end) throws InterruptedException {
