--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -326,7 +326,7 @@
    */
   @Override
   public boolean isReady() {
-    return discovery.heard();
+    return discovery.isReady();
   }
 
   @Override
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -1,341 +1,215 @@
 package merlinrouter.node.discovery;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.DecoderException;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.codec.json.JsonObjectDecoder;
-import io.netty.handler.timeout.ReadTimeoutException;
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import io.netty.util.concurrent.Future;
 import java.net.SocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.node.config.EndpointList;
-import merlinrouter.node.config.EndpointListReader;
-import merlinrouter.node.config.InvalidConfigException;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.config.SettingNames;
-import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
 
 /**
- * Watches the list of app servers, from the last revision heard on. What discovery's agent holds
- * counts as told whether or not a watch is open, so one that ends, falls silent or stays mute is
- * replaced well within the span that a drain allows.
+ * Watches the endpoint list, from the last revision received on. What discovery holds counts as
+ * delivered whether or not a watch is open, so a watch that ends, falls silent or is not answered
+ * is replaced well within the time that draining allows. Used on the event loop only.
  */
 public final class DiscoveryClient {
   /**
-   * A line comes every 2 s at least, and what a silent watch misses counts as told 6 s after it
-   * fell silent.
+   * Discovery writes a line every 2 s at least, and what a silent watch misses counts as delivered
+   * 6 s after it fell silent.
    */
-  private static final int SILENCE_S = 3;
+  private static final int READ_TIMEOUT_SECONDS = 3;
 
-  private static final int CONNECT_MS = 1_000, MOST_LINE = 1 << 20;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /**
-   * A list is written in one go: one begun and not whole after this was cut. Ours; half of a
-   * drain's second.
-   */
-  private static final long UNFINISHED_MS = 500;
+  /** Unanswered watches are kept, since each may be answered yet, but no more than so many. */
+  private static final int MAX_UNANSWERED_WATCHES = 4;
 
-  /**
-   * A watch that has not answered after this has another opened beside it: the agent answers at
-   * once, and one that was silent counts what it gets at its return as told. Ours; half of a
-   * drain's second. The earlier ones stay, so many at most, since one of them may be answered yet.
-   */
-  private static final long MUTE_MS = 500;
+  private static final long INITIAL_BACKOFF_MILLIS = 100;
 
-  private static final int MOST_MUTE = 4;
-
-  /** Pushed lists come from an agent that answers free. Ours. */
-  private static final long FIRST_BACKOFF_MS = 100, MOST_BACKOFF_MS = 250;
-
-  /**
-   * A discovery that must be asked is spared, but whatever calls fail, a change counts as told 6 s
-   * after it had it and could be reached: behind a silence of 3 s, a pause and a call that stays
-   * mute there is time for another.
-   */
-  private static final long MOST_ASKING_MS = 500, MUTE_ASKING_MS = 1_000;
-
-  private static final long PATIENCE_MS = 1_000;
+  /** Time after the start from which the list known before it is used without discovery. */
+  private static final long READY_TIMEOUT_MILLIS = 1_000;
 
   private final EndpointListListener listener;
-  private final NodeLog log;
   private final EventLoop loop;
-  private final SettingNames names;
+  private final NodeLog log;
+  private final WatchTimeouts timeouts;
   private final Bootstrap bootstrap;
-  private final long mostBackoff, mutePatience;
 
-  /** Watches that have not been answered yet, the oldest first. */
-  private final ArrayDeque<Channel> mute = new ArrayDeque<>();
+  /** Watches without a response, the oldest first. */
+  private final ArrayDeque<Channel> unanswered = new ArrayDeque<>();
 
   private SocketAddress address;
 
-  /** The watch that is being listened to; null while none has answered. */
-  private Channel speaking;
+  /** The watch whose lists are read; null while none has been answered. */
+  private Channel current;
 
-  private Future<?> next;
-  private long revision, backoff = FIRST_BACKOFF_MS;
-  private boolean heard;
-  private int opened;
+  private Future<?> nextWatch;
+  private long revision;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+  private boolean ready;
+  private int openedWatches;
 
+  /**
+   * Creates a client that does not connect yet.
+   *
+   * @param listener is notified of updates
+   * @param loop the event loop that all runs on
+   * @param config discovery's address, the names in its lists and how lists are delivered
+   * @param log counts failures
+   */
   public DiscoveryClient(
       EndpointListListener listener, EventLoop loop, NodeConfig config, NodeLog log) {
     this.listener = listener;
-    this.log = log;
     this.loop = loop;
-    names = config.names();
+    this.log = log;
     address = config.discovery();
-    boolean asked = config.settings().limits().endpointSubscription();
-    mostBackoff = asked ? MOST_ASKING_MS : MOST_BACKOFF_MS;
-    mutePatience = asked ? MUTE_ASKING_MS : MUTE_MS;
+    timeouts = WatchTimeouts.of(config.settings().limits().endpointSubscription());
     bootstrap =
         Transport.connecting(loop, config.discovery())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-            .handler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(Channel channel) {
-                    Lists lists = new Lists();
-                    channel
-                        .pipeline()
-                        .addLast(
-                            new ReadTimeoutHandler(SILENCE_S),
-                            new HttpClientCodec(),
-                            new Watch(lists),
-                            lists,
-                            new Reader());
-                  }
-                });
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+            .handler(initializer(config.names()));
   }
 
-  public void start(long known) {
-    revision = known;
-    // A discovery that is down must not keep the edge node from serving by the list it has.
-    loop.schedule(() -> heard = true, PATIENCE_MS, TimeUnit.MILLISECONDS);
-    watch();
+  private ChannelInitializer<Channel> initializer(SettingNames names) {
+    return new ChannelInitializer<>() {
+      @Override
+      protected void initChannel(Channel channel) {
+        EndpointListFramer framer = new EndpointListFramer();
+        channel
+            .pipeline()
+            .addLast(
+                new ReadTimeoutHandler(READ_TIMEOUT_SECONDS),
+                new HttpClientCodec(),
+                new WatchHandler(DiscoveryClient.this, framer),
+                framer,
+                new EndpointListHandler(DiscoveryClient.this, names));
+      }
+    };
   }
 
-  /** Whether a first message has come, or has been waited for long enough. */
-  public boolean heard() {
-    return heard;
+  /**
+   * Begins to watch.
+   *
+   * @param knownRevision revision of the list that is known; watches ask for what came after it
+   */
+  public void start(long knownRevision) {
+    revision = knownRevision;
+    // A discovery that is down must not keep the node from serving by the list that it has.
+    loop.schedule(() -> ready = true, READY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    openWatch();
   }
 
-  /** How many watches were opened so far, and how many of these are out. */
-  public int opened() {
-    return opened;
+  /** Whether an update was received, or has been waited for long enough. */
+  public boolean isReady() {
+    return ready;
   }
 
-  public int out() {
-    return mute.size() + (speaking == null ? 0 : 1);
+  /** How many watches were opened so far. */
+  public int openedWatches() {
+    return openedWatches;
   }
 
-  /**
-   * From now on watches elsewhere. The list is kept: what changed since then is the new watch's to
-   * tell.
-   */
-  public void move(SocketAddress to) {
-    if (to.equals(address)) {
+  /** How many watches are open or being opened. */
+  public int openWatches() {
+    return unanswered.size() + (current == null ? 0 : 1);
+  }
+
+  /** Watches at another address, from the revision received last on. */
+  public void move(SocketAddress newAddress) {
+    if (newAddress.equals(address)) {
       return;
     }
-    address = to;
-    backoff = FIRST_BACKOFF_MS;
-    Channel old = speaking;
-    speaking = null;
-    List<Channel> unanswered = List.copyOf(mute);
-    mute.clear();
-    watch();
-    unanswered.forEach(Channel::close);
-    if (old != null) {
-      old.close();
+    address = newAddress;
+    backoffMillis = INITIAL_BACKOFF_MILLIS;
+    Channel previous = current;
+    current = null;
+    List<Channel> previousUnanswered = List.copyOf(unanswered);
+    unanswered.clear();
+    openWatch();
+    previousUnanswered.forEach(Channel::close);
+    if (previous != null) {
+      previous.close();
     }
   }
 
-  private void watch() {
-    if (mute.size() >= MOST_MUTE) {
-      mute.poll().close();
+  private void openWatch() {
+    if (unanswered.size() >= MAX_UNANSWERED_WATCHES) {
+      unanswered.poll().close();
     }
     ChannelFuture connecting = bootstrap.connect(address);
     if (!Transport.hasChannel(connecting)) {
       log.count(NodeLog.Event.LOCAL_CONNECT_FAILED);
-      watchAfter(FIRST_BACKOFF_MS);
+      scheduleWatch(INITIAL_BACKOFF_MILLIS);
       return;
     }
     Channel channel = connecting.channel();
-    mute.add(channel);
-    opened++;
-    channel.closeFuture().addListener(closed -> ended(channel));
-    watchAfter(mutePatience);
+    unanswered.add(channel);
+    openedWatches++;
+    channel.closeFuture().addListener(closed -> watchEnded(channel));
+    scheduleWatch(timeouts.responseTimeoutMillis());
   }
 
-  private void watchAfter(long ms) {
-    if (next != null) {
-      next.cancel(false);
+  private void scheduleWatch(long delayMillis) {
+    if (nextWatch != null) {
+      nextWatch.cancel(false);
     }
-    next = loop.schedule(this::watch, ms, TimeUnit.MILLISECONDS);
+    nextWatch = loop.schedule(this::openWatch, delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void ended(Channel channel) {
-    boolean last = channel == speaking;
-    if (last) {
-      speaking = null;
+  private void watchEnded(Channel channel) {
+    boolean wasCurrent = channel == current;
+    if (wasCurrent) {
+      current = null;
     }
-    // Else it was given up, or others are out and the next one's time is set.
-    if (last || mute.remove(channel) && mute.isEmpty() && speaking == null) {
-      watchAfter(backoff);
-      backoff = Math.min(mostBackoff, 2 * backoff);
+    // Otherwise it was given up, or others are open and the next watch is scheduled already.
+    boolean noneLeft =
+        wasCurrent || unanswered.remove(channel) && unanswered.isEmpty() && current == null;
+    if (noneLeft) {
+      scheduleWatch(backoffMillis);
+      backoffMillis = Math.min(timeouts.maxBackoffMillis(), 2 * backoffMillis);
     }
   }
 
-  private void answered(Channel channel) {
-    if (mute.remove(channel)) {
-      next.cancel(false);
-      speaking = channel;
-      List<Channel> others = List.copyOf(mute);
-      mute.clear();
+  /** A watch is being answered: it becomes the current one unless it is or was, or was given up. */
+  void responseStarted(Channel channel) {
+    if (unanswered.remove(channel)) {
+      nextWatch.cancel(false);
+      current = channel;
+      List<Channel> others = List.copyOf(unanswered);
+      unanswered.clear();
       others.forEach(Channel::close);
     }
   }
 
-  /** The HTTP side of a watch: a chunked answer that stays open. */
-  private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
-    private final Lists lists;
-    private Future<?> unfinished;
-    private boolean ended;
-
-    Watch(Lists lists) {
-      this.lists = lists;
-    }
-
-    @Override
-    public void channelActive(ChannelHandlerContext context) {
-      DefaultFullHttpRequest request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members?watch=1&after=" + revision);
-      request.headers().set(HttpHeaderNames.HOST, "discovery");
-      context.writeAndFlush(request);
-    }
-
-    @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-      // The rest of what was read goes on arriving after a close: the body of an error is no list.
-      ended |=
-          part.decoderResult().isFailure()
-              || part instanceof HttpResponse response && response.status().code() != 200;
-      if (!ended) {
-        answered(context.channel());
-      }
-      if (ended || context.channel() != speaking) {
-        context.close();
-        return;
-      }
-      if (part instanceof HttpContent content) {
-        context.fireChannelRead(content.content().retain());
-        await(context);
-      }
-      if (part instanceof LastHttpContent) {
-        context.close();
-      }
-    }
-
-    /**
-     * A list that was cut would have the next ones taken for its rest, and the watch for a live
-     * one.
-     */
-    private void await(ChannelHandlerContext context) {
-      if (lists.isBetween() && unfinished != null) {
-        unfinished.cancel(false);
-        unfinished = null;
-      } else if (!lists.isBetween() && unfinished == null) {
-        unfinished =
-            loop.schedule(
-                () -> spoilt(context, new InvalidConfigException("discovery's list was cut")),
-                UNFINISHED_MS,
-                TimeUnit.MILLISECONDS);
-      }
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext context) {
-      if (unfinished != null) {
-        unfinished.cancel(false);
-      }
-      ended = true;
-      context.fireChannelInactive();
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      if (!ended) {
-        spoilt(context, cause);
-      }
-      ended = true;
-    }
-  }
-
-  /** Silence is so usual while discovery is down that it is worth no line. */
-  private static void spoilt(ChannelHandlerContext context, Throwable cause) {
-    if (!(cause instanceof ReadTimeoutException) && context.channel().isOpen()) {
-      // What could not be read may be a megabyte of noise.
-      boolean noise =
-          cause instanceof DecoderException
-              && !(cause.getCause() instanceof InvalidConfigException);
-      ErrorLog.report(
-          "discovery", noise ? new InvalidConfigException("what came is no list") : cause);
-    }
-    context.close();
+  /** Whether lists of this watch are read. */
+  boolean isCurrent(Channel channel) {
+    return channel == current;
   }
 
-  /** Finds where each list ends: one may stand on a line or be indented over many. */
-  private static final class Lists extends JsonObjectDecoder {
-    Lists() {
-      super(MOST_LINE);
-    }
-
-    boolean isBetween() {
-      return actualReadableBytes() == 0;
-    }
+  /** The revision received last. */
+  long revision() {
+    return revision;
   }
 
-  /** Reads each list as it gets whole. */
-  private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
-    @Override
-    protected void channelRead0(ChannelHandlerContext context, ByteBuf text)
-        throws InvalidConfigException {
-      if (context.channel() != speaking || !context.channel().isOpen()) {
-        return;
-      }
-      EndpointList roll = EndpointListReader.parse(text.toString(StandardCharsets.UTF_8), names);
-      listener.endpointsUpdated(
-          roll, roll.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
-      revision = roll.revision();
-      heard = true;
-      backoff = FIRST_BACKOFF_MS;
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      spoilt(context, cause);
-    }
+  /** The current watch delivered an update. */
+  void updateReceived(EndpointList update) {
+    listener.endpointsUpdated(
+        update, update.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
+    revision = update.revision();
+    ready = true;
+    backoffMillis = INITIAL_BACKOFF_MILLIS;
   }
 }
--- /dev/null
+++ b/src/main/java/merlinrouter/node/discovery/EndpointListHandler.java
@@ -0,0 +1,33 @@
+package merlinrouter.node.discovery;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import java.nio.charset.StandardCharsets;
+import merlinrouter.node.config.EndpointListReader;
+import merlinrouter.node.config.InvalidConfigException;
+import merlinrouter.node.config.SettingNames;
+
+/** Reads each complete endpoint list of a watch. */
+final class EndpointListHandler extends SimpleChannelInboundHandler<ByteBuf> {
+  private final DiscoveryClient client;
+  private final SettingNames names;
+
+  EndpointListHandler(DiscoveryClient client, SettingNames names) {
+    this.client = client;
+    this.names = names;
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext context, ByteBuf text)
+      throws InvalidConfigException {
+    if (client.isCurrent(context.channel()) && context.channel().isOpen()) {
+      client.updateReceived(EndpointListReader.parse(text.toString(StandardCharsets.UTF_8), names));
+    }
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    WatchFailure.closeAfter(context, cause);
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/discovery/WatchHandler.java
@@ -0,0 +1,105 @@
+package merlinrouter.node.discovery;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.node.config.InvalidConfigException;
+
+/** The HTTP side of a watch: one request, and a chunked response that stays open. */
+final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
+  /**
+   * A list is written in one go: one that began and is not complete after so long was cut short.
+   * Half of the second that draining allows.
+   */
+  private static final long LIST_COMPLETION_TIMEOUT_MILLIS = 500;
+
+  private static final int STATUS_OK = 200;
+
+  private final DiscoveryClient client;
+  private final EndpointListFramer framer;
+  private Future<?> completionTimeout;
+  private boolean ended;
+
+  WatchHandler(DiscoveryClient client, EndpointListFramer framer) {
+    this.client = client;
+    this.framer = framer;
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext context) {
+    DefaultFullHttpRequest request =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, HttpMethod.GET, DiscoveryProtocol.watchUri(client.revision()));
+    request.headers().set(HttpHeaderNames.HOST, DiscoveryProtocol.HOST);
+    context.writeAndFlush(request);
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+    // What was read goes on arriving after a close, and the body of an error is no list.
+    ended |= part.decoderResult().isFailure() || isErrorHead(part);
+    if (!ended) {
+      client.responseStarted(context.channel());
+    }
+    if (ended || !client.isCurrent(context.channel())) {
+      context.close();
+      return;
+    }
+    if (part instanceof HttpContent content) {
+      context.fireChannelRead(content.content().retain());
+      updateCompletionTimeout(context);
+    }
+    if (part instanceof LastHttpContent) {
+      context.close();
+    }
+  }
+
+  private static boolean isErrorHead(HttpObject part) {
+    return part instanceof HttpResponse response && response.status().code() != STATUS_OK;
+  }
+
+  /** Behind a list that was cut short, later lists would pass for its rest, and keep the watch. */
+  private void updateCompletionTimeout(ChannelHandlerContext context) {
+    if (framer.isBetweenLists() && completionTimeout != null) {
+      completionTimeout.cancel(false);
+      completionTimeout = null;
+    } else if (!framer.isBetweenLists() && completionTimeout == null) {
+      completionTimeout =
+          context
+              .channel()
+              .eventLoop()
+              .schedule(
+                  () ->
+                      WatchFailure.closeAfter(
+                          context, new InvalidConfigException("the endpoint list was cut short")),
+                  LIST_COMPLETION_TIMEOUT_MILLIS,
+                  TimeUnit.MILLISECONDS);
+    }
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) {
+    if (completionTimeout != null) {
+      completionTimeout.cancel(false);
+    }
+    ended = true;
+    context.fireChannelInactive();
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    if (!ended) {
+      WatchFailure.closeAfter(context, cause);
+    }
+    ended = true;
+  }
+}
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -55,11 +55,13 @@
             });
     EdgeNode node = start(config());
     awaitServed(node);
-    int before = node.loop().submit(() -> node.discovery().opened()).get();
+    int before = node.loop().submit(() -> node.discovery().openedWatches()).get();
     assertTrue(
         node.loop()
             .schedule(
-                () -> node.discovery().opened() > before || node.discovery().out() == 0,
+                () ->
+                    node.discovery().openedWatches() > before
+                        || node.discovery().openWatches() == 0,
                 6,
                 TimeUnit.SECONDS)
             .get(),
@@ -89,7 +91,9 @@
     awaitServed(node);
     discovery.ended.take();
     assertEquals(
-        1, node.loop().submit(() -> node.discovery().out()).get(), "one that speaks is enough");
+        1,
+        node.loop().submit(() -> node.discovery().openWatches()).get(),
+        "one that speaks is enough");
   }
 
   /**
@@ -110,8 +114,8 @@
             new Runnable() {
               @Override
               public void run() {
-                before[0] = node.discovery().opened();
-                if (node.discovery().out() == 0) {
+                before[0] = node.discovery().openedWatches();
+                if (node.discovery().openWatches() == 0) {
                   ended.complete(null);
                 } else {
                   node.loop().schedule(this, 1, TimeUnit.MILLISECONDS);
@@ -121,7 +125,7 @@
     ended.get();
     assertTrue(
         node.loop()
-            .schedule(() -> node.discovery().opened() > before[0], 1, TimeUnit.SECONDS)
+            .schedule(() -> node.discovery().openedWatches() > before[0], 1, TimeUnit.SECONDS)
             .get(),
         "no watch was opened for a second");
   }
@@ -154,7 +158,7 @@
         start(config().replace("\"discovery\": \"automatic\"", "\"discovery\": \"subscribe\""));
     silent.get();
     assertTrue(
-        node.loop().schedule(() -> node.discovery().opened() > 8, 6, TimeUnit.SECONDS).get(),
+        node.loop().schedule(() -> node.discovery().openedWatches() > 8, 6, TimeUnit.SECONDS).get(),
         "6 s after it fell silent it had not been asked for anew twice");
     awaitServed(node);
   }
--- a/src/test/java/merlinrouter/node/RaceConditionTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -602,7 +602,7 @@
     node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
     node.start();
     assertTrue(elsewhere.next().first().contains("after=5"));
-    until(node, () -> node.discovery().out() == 1);
+    until(node, () -> node.discovery().openWatches() == 1);
   }
 
   /**
