--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -305,7 +305,7 @@
     for (EndpointEntry member : roll.entries()) {
       Endpoint server = member.endpoint();
       named.add(server.id());
-      long started = startTimes.momentOf(server.id(), server.startedAtNanos(), now);
+      long started = startTimes.toMonotonicNanos(server.id(), server.startedAtNanos(), now);
       members.add(new EndpointEntry(server.withStartedAtNanos(started), member.address()));
       if (server.state() == EndpointState.REMOVED) {
         startTimes.forget(server.id());
@@ -318,7 +318,7 @@
   }
 
   private void lookAtClocks() {
-    startTimes.look(now(), System.currentTimeMillis() * MS);
+    startTimes.observeClocks(now(), System.currentTimeMillis() * MS);
   }
 
   /**
--- a/src/main/java/merlinrouter/node/counter/CounterConnection.java
+++ b/src/main/java/merlinrouter/node/counter/CounterConnection.java
@@ -108,7 +108,7 @@
   void callTimedOut(CounterCall call) {
     CounterCall oldest = pending.peek();
     boolean silent = oldest != null && oldest.ageNanos() > MAX_SILENT_TIMEOUTS * callTimeoutNanos;
-    if (!call.isWritten() || silent || !decoder.isBetween()) {
+    if (!call.isWritten() || silent || !decoder.isBetweenResponses()) {
       close();
     } else {
       closeIfReplacedAndDone();
@@ -141,12 +141,12 @@
   }
 
   @Override
-  protected boolean expectsAnswer() {
+  protected boolean expectsResponse() {
     return !pending.isEmpty() && pending.peek().isWritten();
   }
 
   @Override
-  protected void answered(HttpResponse head, ByteBuf body) {
+  protected void responseReceived(HttpResponse head, ByteBuf body) {
     CounterCall call = pending.poll();
     CounterResponse response = CounterResponse.of(head, body);
     call.end(response.outcome(), response.total());
@@ -158,7 +158,7 @@
   }
 
   @Override
-  protected void spoilt() {
+  protected void connectionFailed() {
     close();
   }
 }
--- a/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
@@ -4,99 +4,106 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import merlinrouter.node.logging.NodeLog;
 
 /**
- * Turns the wall-clock times at which servers started into moments of the node's monotonic clock.
- * Each start is turned once, when it is first told, so that a step of the wall clock neither ages a
- * server nor makes it young again. Where the wall clock stepped lately it is not known on which
- * side of the step a start was read: the younger age counts, since a server taken for too young
- * only gets less for a while. Used on the event loop only.
+ * Converts the wall-clock times at which endpoints started into moments of the node's monotonic
+ * clock. Each time is converted only when it is first reported, so that a step of the wall clock
+ * does not change an endpoint's age. After a recent step it is unknown on which side of the step a
+ * start was read: the younger age counts, since an endpoint that is taken for too young only gets
+ * fewer requests for a while. Used on the event loop only.
  */
 public final class EndpointStartTimes {
-  private static final long MS = 1_000_000L;
-
   /**
-   * Less than this between two looks is the slewing of a clock that is kept in time, and no step.
+   * A smaller difference between two observations is the slewing of a synchronized clock and no
+   * step.
    */
-  private static final long LEAST_STEP = 100 * MS;
+  private static final long MIN_STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** The wall clock's distance from the monotonic clock, and when it was last seen. */
-  private static final class Offset {
-    private final long value;
-    private long lastSeen;
+  /** The wall clock minus the monotonic clock, and when that was last observed. */
+  private static final class ClockOffset {
+    private final long offsetNanos;
+    private long lastObservedNanos;
 
-    Offset(long value, long lastSeen) {
-      this.value = value;
-      this.lastSeen = lastSeen;
+    ClockOffset(long offsetNanos, long lastObservedNanos) {
+      this.offsetNanos = offsetNanos;
+      this.lastObservedNanos = lastObservedNanos;
     }
   }
 
-  private record Start(long wall, long moment) {}
+  private record StartTime(long wallNanos, long monotonicNanos) {}
 
-  private final long memory;
+  private final long stepRelevanceNanos;
   private final NodeLog log;
-  private final ArrayDeque<Offset> offsets = new ArrayDeque<>();
-  private final Map<String, Start> starts = new HashMap<>();
 
-  /** {@code memory} is for how long a step may matter: the span of a slow start, in nanoseconds. */
-  public EndpointStartTimes(long memory, NodeLog log) {
-    this.memory = memory;
-    this.log = log;
-  }
+  /** The offsets that may still matter, the latest last. */
+  private final ArrayDeque<ClockOffset> offsets = new ArrayDeque<>();
+
+  private final Map<String, StartTime> startTimes = new HashMap<>();
 
   /**
-   * PollTimestamps at both clocks, in nanoseconds; called often enough that a step is seen soon.
+   * Creates a converter that knows no endpoint.
+   *
+   * @param stepRelevanceNanos how long a step may matter: the duration of a slow start
+   * @param log counts the steps of the wall clock
    */
-  public void look(long monotonic, long wall) {
-    long value = wall - monotonic;
-    Offset latest = offsets.peekLast();
-    if (latest == null || Math.abs(value - latest.value) >= LEAST_STEP) {
+  public EndpointStartTimes(long stepRelevanceNanos, NodeLog log) {
+    this.stepRelevanceNanos = stepRelevanceNanos;
+    this.log = log;
+  }
+
+  /** Compares both clocks, read in nanoseconds; called often enough to notice a step soon. */
+  public void observeClocks(long monotonicNanos, long wallNanos) {
+    long offsetNanos = wallNanos - monotonicNanos;
+    ClockOffset latest = offsets.peekLast();
+    if (latest == null || Math.abs(offsetNanos - latest.offsetNanos) >= MIN_STEP_NANOS) {
       if (latest != null) {
         log.count(NodeLog.Event.CLOCK_STEPPED);
       }
-      offsets.add(new Offset(value, monotonic));
+      offsets.add(new ClockOffset(offsetNanos, monotonicNanos));
     } else {
-      latest.lastSeen = monotonic;
+      latest.lastObservedNanos = monotonicNanos;
     }
-    while (offsets.size() > 1 && monotonic - offsets.peekFirst().lastSeen > memory) {
+    while (offsets.size() > 1
+        && monotonicNanos - offsets.peekFirst().lastObservedNanos > stepRelevanceNanos) {
       offsets.pollFirst();
     }
   }
 
   /**
-   * The moment of the monotonic clock at which a server started, at least 1; 0 for long ago.
+   * Returns the moment of the monotonic clock at which an endpoint started, at least 1; 0 for long
+   * ago.
    *
-   * @param id the server
-   * @param wall the wall clock's time of its start as discovery tells it, in nanoseconds; 0 for
-   *     long ago
-   * @param now the monotonic clock, in nanoseconds; {@link #look} was called for it
+   * @param endpointId the endpoint
+   * @param wallNanos the wall-clock time of its start as discovery reports it; 0 for long ago
+   * @param nowNanos the monotonic clock; {@link #observeClocks} was called for it
    */
-  public long momentOf(String id, long wall, long now) {
-    if (wall <= 0) {
-      starts.remove(id);
+  public long toMonotonicNanos(String endpointId, long wallNanos, long nowNanos) {
+    if (wallNanos <= 0) {
+      startTimes.remove(endpointId);
       return 0;
     }
-    Start known = starts.get(id);
-    if (known != null && known.wall == wall) {
-      return known.moment;
+    StartTime known = startTimes.get(endpointId);
+    if (known != null && known.wallNanos == wallNanos) {
+      return known.monotonicNanos;
     }
-    long age = Long.MAX_VALUE;
-    for (Offset offset : offsets) {
-      age = Math.min(age, Math.max(0, now + offset.value - wall));
+    long ageNanos = Long.MAX_VALUE;
+    for (ClockOffset offset : offsets) {
+      ageNanos = Math.min(ageNanos, Math.max(0, nowNanos + offset.offsetNanos - wallNanos));
     }
-    long moment = Math.max(1, now - Math.min(age, now - 1));
-    starts.put(id, new Start(wall, moment));
-    return moment;
+    long monotonicNanos = Math.max(1, nowNanos - Math.min(ageNanos, nowNanos - 1));
+    startTimes.put(endpointId, new StartTime(wallNanos, monotonicNanos));
+    return monotonicNanos;
   }
 
-  /** Forgets servers that the list does not name any more. */
-  public void retain(Set<String> ids) {
-    starts.keySet().retainAll(ids);
+  /** Forgets endpoints that the list does not name any more. */
+  public void retain(Set<String> endpointIds) {
+    startTimes.keySet().retainAll(endpointIds);
   }
 
-  /** Forgets a server that is gone. */
-  public void forget(String id) {
-    starts.remove(id);
+  /** Forgets an endpoint that was removed. */
+  public void forget(String endpointId) {
+    startTimes.remove(endpointId);
   }
 }
--- a/src/main/java/merlinrouter/node/http/BodyAccumulator.java
+++ b/src/main/java/merlinrouter/node/http/BodyAccumulator.java
@@ -3,40 +3,45 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** Puts a message's body together, up to a bound. The copy lets go of what it was read into. */
+/**
+ * Copies the parts of a message's body into one buffer, up to a maximum size. Not safe for use by
+ * several threads.
+ */
 public final class BodyAccumulator {
-  private static final int FIRST = 256;
+  private static final int MIN_CAPACITY_BYTES = 256;
 
-  private final int most;
+  private final int maxBytes;
   private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
-  public BodyAccumulator(int most) {
-    this.most = most;
+  /** Creates an accumulator for bodies of up to {@code maxBytes}. */
+  public BodyAccumulator(int maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
+  /** Returns how many bytes the body has so far. */
   public int size() {
     return bytes.readableBytes();
   }
 
-  /** Adds a part; false, with nothing added, if that is too much. */
+  /** Adds a part, which stays the caller's; false, with nothing added, if that is too much. */
   public boolean add(ByteBuf part) {
     int length = part.readableBytes();
-    if (size() + length > most) {
+    if (size() + length > maxBytes) {
       return false;
     }
     if (length > 0) {
       if (!bytes.isReadable()) {
-        bytes = Unpooled.buffer(Math.max(FIRST, length));
+        bytes = Unpooled.buffer(Math.max(MIN_CAPACITY_BYTES, length));
       }
       bytes.writeBytes(part, part.readerIndex(), length);
     }
     return true;
   }
 
-  /** Hands the whole body over and begins anew. */
+  /** Returns the body, which the caller then owns, and starts another one. */
   public ByteBuf take() {
-    ByteBuf whole = bytes;
+    ByteBuf body = bytes;
     bytes = Unpooled.EMPTY_BUFFER;
-    return whole;
+    return body;
   }
 }
--- a/src/main/java/merlinrouter/node/http/ResponseHandler.java
+++ b/src/main/java/merlinrouter/node/http/ResponseHandler.java
@@ -6,6 +6,7 @@
 import io.netty.handler.codec.DecoderException;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
@@ -15,139 +16,164 @@
 import merlinrouter.node.transport.TcpChannel;
 
 /**
- * Puts a peer's answers together and tells a spoilt one as early as that can be: a length that is
- * too large, two of them, or none, is told by the head. After a spoilt answer nothing else that
- * comes is looked at.
+ * Collects a peer's responses and detects malformed ones as early as possible: a length that is too
+ * large, missing or given twice is detected in the head. Behind a malformed response nothing is
+ * read. Used on the event loop only.
  */
 public abstract class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
-  /** So many 1xx answers ahead of one are nobody's courtesy any more. */
-  private static final int MOST_INFORMATIONAL = 32;
+  /** More responses of status 1xx ahead of a final one are taken for an error of the peer. */
+  private static final int MAX_INFORMATIONAL_RESPONSES = 32;
 
-  private final int most;
+  private static final int STATUS_SWITCHING_PROTOCOLS = 101;
+  private static final int MIN_FINAL_STATUS = 200;
+  private static final int STATUS_NO_CONTENT = 204;
+  private static final int STATUS_NOT_MODIFIED = 304;
+
+  private final int maxBodyBytes;
   private final BodyAccumulator body;
   private HttpResponse head;
-  private int informational;
-  private boolean spoilt;
+  private int informationalResponses;
+  private boolean failed;
 
   /**
-   * The answer that is coming has no length: only the peer's orderly end tells that it is whole.
+   * The response at hand has no length: only the peer's orderly end of the connection tells that it
+   * is complete.
    */
   private boolean endsWithConnection;
 
-  public ResponseHandler(int most) {
-    this.most = most;
-    body = new BodyAccumulator(most);
+  /** Creates a handler for responses with a body of up to {@code maxBodyBytes}. */
+  protected ResponseHandler(int maxBodyBytes) {
+    this.maxBodyBytes = maxBodyBytes;
+    body = new BodyAccumulator(maxBodyBytes);
   }
 
-  /** A whole answer came; the body stays the caller's. */
-  protected abstract void answered(HttpResponse answer, ByteBuf body);
+  /** A complete response was received; the body is released when this returns. */
+  protected abstract void responseReceived(HttpResponse response, ByteBuf content);
 
-  /** What came is no whole answer and never will be; the connection is of no further use. */
-  protected abstract void spoilt();
+  /**
+   * A malformed response was received, or the connection ended; it is of no further use. Called
+   * once by this class.
+   */
+  protected abstract void connectionFailed();
 
-  /** Whether an answer may come now: one that nobody waits for belongs to nothing. */
-  protected abstract boolean expectsAnswer();
+  /** Whether a response may arrive now: one that belongs to no request is malformed. */
+  protected abstract boolean expectsResponse();
 
   /**
-   * Whether an answer without a length is taken, once the peer has ended the connection in order.
+   * Whether a response without a length is accepted, once the peer has ended the connection in
+   * order.
    */
-  protected boolean takesAnswersWithoutLength() {
+  protected boolean acceptsResponseWithoutLength() {
     return false;
   }
 
   @Override
   protected final void channelRead0(ChannelHandlerContext context, HttpObject part) {
-    if (spoilt) {
+    if (failed) {
       return;
     }
-    if (!expectsAnswer() || part.decoderResult().isFailure()) {
-      spoil();
-      return;
+    boolean malformed =
+        !expectsResponse()
+            || part.decoderResult().isFailure()
+            || part instanceof HttpResponse response && !acceptHead(response);
+    if (malformed) {
+      fail();
+    } else if (part instanceof HttpContent content) {
+      addContent(context, content);
     }
-    if (part instanceof HttpResponse begun) {
-      head = begun;
-      endsWithConnection = takesAnswersWithoutLength() && !isInformational() && hasNoLength(begun);
-      if (isInformational()
-          ? begun.status().code() == 101 || ++informational > MOST_INFORMATIONAL
-          : !endsWithConnection && !isFramed(begun)) {
-        spoil();
-        return;
-      }
+  }
+
+  /** Begins a response; false if its head alone shows that it is malformed. */
+  private boolean acceptHead(HttpResponse response) {
+    head = response;
+    endsWithConnection =
+        acceptsResponseWithoutLength() && !isInformational() && hasNoLength(response);
+    if (!isInformational()) {
+      return endsWithConnection || isFramed(response);
     }
-    if (part instanceof HttpContent content && !isInformational() && !body.add(content.content())) {
-      spoil();
+    if (response.status().code() == STATUS_SWITCHING_PROTOCOLS) {
+      return false;
     }
-    if (part instanceof LastHttpContent && !spoilt) {
+    informationalResponses++;
+    return informationalResponses <= MAX_INFORMATIONAL_RESPONSES;
+  }
+
+  private void addContent(ChannelHandlerContext context, HttpContent content) {
+    if (!isInformational() && !body.add(content.content())) {
+      fail();
+    } else if (content instanceof LastHttpContent) {
       if (endsWithConnection && !isInputEnded(context)) {
-        spoil();
+        fail();
       } else {
         finish();
       }
     }
   }
 
-  /** A reset, an error and a close of ours leave the rest of an answer unknown. */
+  /** After a reset, an error and a close by this node the rest of a response is unknown. */
   private static boolean isInputEnded(ChannelHandlerContext context) {
     return context.channel() instanceof TcpChannel channel && channel.isInputEnded();
   }
 
-  private static boolean hasNoLength(HttpResponse begun) {
-    int status = begun.status().code();
-    return status != 204
-        && status != 304
-        && !begun.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-        && !begun.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+  private static boolean hasNoLength(HttpResponse response) {
+    return !hasNoBody(response)
+        && !response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
+        && !response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+  }
+
+  private static boolean hasNoBody(HttpResponse response) {
+    int status = response.status().code();
+    return status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED;
   }
 
   private boolean isInformational() {
-    return head.status().code() < 200;
+    return head.status().code() < MIN_FINAL_STATUS;
   }
 
-  /** Whether the head says where the answer ends. */
-  private boolean isFramed(HttpResponse begun) {
-    String coding = begun.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
+  /** Whether the head says where the response ends. */
+  private boolean isFramed(HttpResponse response) {
+    String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
     if (coding != null) {
-      return coding.equalsIgnoreCase("chunked");
+      return coding.equalsIgnoreCase(HttpHeaderValues.CHUNKED.toString());
     }
-    long length = HttpUtil.getContentLength(begun, -1L);
-    int status = begun.status().code();
-    return length >= 0 && length <= most || length < 0 && (status == 204 || status == 304);
+    long length = HttpUtil.getContentLength(response, -1L);
+    return length < 0 ? hasNoBody(response) : length <= maxBodyBytes;
   }
 
   private void finish() {
-    HttpResponse answer = head;
+    HttpResponse response = head;
     if (isInformational()) {
       return;
     }
     head = null;
-    informational = 0;
-    ByteBuf whole = body.take();
+    informationalResponses = 0;
+    ByteBuf content = body.take();
     try {
-      answered(answer, whole);
+      responseReceived(response, content);
     } finally {
-      whole.release();
+      content.release();
     }
   }
 
-  private void spoil() {
-    if (!spoilt) {
-      spoilt = true;
+  private void fail() {
+    if (!failed) {
+      failed = true;
       head = null;
       body.take().release();
-      spoilt();
+      connectionFailed();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    spoil();
+    fail();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-      ErrorLog.report("an answer", cause);
+      ErrorLog.report("a response", cause);
     }
-    spoil();
+    fail();
   }
 }
--- a/src/main/java/merlinrouter/node/http/StrictDecimal.java
+++ b/src/main/java/merlinrouter/node/http/StrictDecimal.java
@@ -1,35 +1,36 @@
 package merlinrouter.node.http;
 
 /**
- * Reads figures that a peer wrote. Java's own parser takes more than a peer may mean ({@code 1d},
- * {@code 0x1p3}, {@code NaN}), and a figure out of bounds must not find its way into what is
- * counted.
+ * Parses numbers from a peer. {@link Double#parseDouble} accepts more than the protocol allows
+ * ({@code 1d}, {@code 0x1p3}, {@code NaN}), and a number out of bounds must not get into any count.
  */
 public final class StrictDecimal {
-  private static final int MOST_LENGTH = 32;
+  private static final int MAX_LENGTH = 32;
+  private static final String UNSIGNED_CHARACTERS = "0123456789.";
+  private static final String SIGNED_CHARACTERS = "0123456789.+-eE";
 
   private StrictDecimal() {}
 
-  /** A decimal number; NaN if the text is none. */
+  /** Parses a finite decimal number; returns NaN for any other text. */
   public static double number(String text) {
-    return parse(text, "0123456789.+-eE");
+    return parse(text, SIGNED_CHARACTERS);
   }
 
   /**
-   * A number above 0, without sign or exponent, and no larger than {@code most}; NaN if the text is
-   * none.
+   * Parses a number above 0 without sign or exponent, and no larger than {@code max}; returns NaN
+   * for any other text and for null.
    */
-  public static double amount(String text, double most) {
-    double value = parse(text, "0123456789.");
-    return value > 0 && value <= most ? value : Double.NaN;
+  public static double amount(String text, double max) {
+    double value = parse(text, UNSIGNED_CHARACTERS);
+    return value > 0 && value <= max ? value : Double.NaN;
   }
 
-  private static double parse(String text, String allowed) {
-    if (text == null || text.isEmpty() || text.length() > MOST_LENGTH) {
+  private static double parse(String text, String allowedCharacters) {
+    if (text == null || text.isEmpty() || text.length() > MAX_LENGTH) {
       return Double.NaN;
     }
     for (int i = 0; i < text.length(); i++) {
-      if (allowed.indexOf(text.charAt(i)) < 0) {
+      if (allowedCharacters.indexOf(text.charAt(i)) < 0) {
         return Double.NaN;
       }
     }
--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -9,7 +9,6 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.Outcome;
-import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.request.OpenRequest;
 
 /**
@@ -126,11 +125,11 @@
     long leftMillis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - elapsedNanos());
     message
         .headers()
-        .set(HttpHeaderNames.HOST, ServiceProtocol.SERVICE_HOST)
-        .set(ServiceProtocol.REQUEST_ID, requestId())
-        .set(ServiceProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
+        .set(HttpHeaderNames.HOST, EndpointProtocol.SERVICE_HOST)
+        .set(EndpointProtocol.REQUEST_ID, requestId())
+        .set(EndpointProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
     if (request.key != null) {
-      message.headers().set(ServiceProtocol.IDEMPOTENCY_KEY, request.key);
+      message.headers().set(EndpointProtocol.IDEMPOTENCY_KEY, request.key);
     }
     if (request.body.isReadable()) {
       message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body.readableBytes());
--- a/src/main/java/merlinrouter/node/http/ServiceProtocol.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointProtocol.java
@@ -1,9 +1,7 @@
-package merlinrouter.node.http;
+package merlinrouter.node.upstream;
 
-/**
- * What clients, the node and endpoints agree on beyond HTTP: names of headers, values and limits.
- */
-public final class ServiceProtocol {
+/** What the node and endpoints agree on beyond HTTP: names of headers, values and limits. */
+public final class EndpointProtocol {
   /** Maximum size of a body in bytes, of requests and of responses. */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
@@ -28,5 +26,5 @@
   /** Value of a flag that is set. */
   public static final String YES = "1";
 
-  private ServiceProtocol() {}
+  private EndpointProtocol() {}
 }
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -12,7 +12,6 @@
 import merlinrouter.model.Outcome;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
-import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.logging.NodeLog;
 
 /**
@@ -27,7 +26,7 @@
   private static final long QUIET_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   /**
-   * A response has {@link ServiceProtocol#MAX_BODY_BYTES} bytes at most: one that began and is not
+   * A response has {@link EndpointProtocol#MAX_BODY_BYTES} bytes at most: one that began and is not
    * complete after so long is malformed.
    */
   private static final long RESPONSE_COMPLETION_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -48,7 +47,7 @@
   private Future<?> completionTimeout;
 
   UpstreamConnection(ResponseDecoder decoder, EventLoop loop, NodeLog log, double maxChargedUnits) {
-    super(ServiceProtocol.MAX_BODY_BYTES);
+    super(EndpointProtocol.MAX_BODY_BYTES);
     this.decoder = decoder;
     this.loop = loop;
     this.log = log;
@@ -96,7 +95,7 @@
   }
 
   @Override
-  protected boolean takesAnswersWithoutLength() {
+  protected boolean acceptsResponseWithoutLength() {
     return true;
   }
 
@@ -135,12 +134,12 @@
   }
 
   @Override
-  protected boolean expectsAnswer() {
+  protected boolean expectsResponse() {
     return attempt != null && attempt.isWritten();
   }
 
   @Override
-  protected void answered(HttpResponse head, ByteBuf body) {
+  protected void responseReceived(HttpResponse head, ByteBuf body) {
     Attempt answered = attempt;
     attempt = null;
     answered.detach();
@@ -157,7 +156,7 @@
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    boolean clean = decoder.isBetween();
+    boolean clean = decoder.isBetweenResponses();
     if (attempt != null) {
       updateCompletionTimeout(!clean);
     } else if (!clean) {
@@ -186,7 +185,8 @@
   private void updateCompletionTimeout(boolean responseIncomplete) {
     if (responseIncomplete && completionTimeout == null) {
       completionTimeout =
-          loop.schedule(() -> spoilt(), RESPONSE_COMPLETION_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
+          loop.schedule(
+              () -> connectionFailed(), RESPONSE_COMPLETION_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
     } else if (!responseIncomplete && completionTimeout != null) {
       completionTimeout.cancel(false);
       completionTimeout = null;
@@ -195,7 +195,7 @@
 
   /** A malformed response, or the end of the connection. */
   @Override
-  protected void spoilt() {
+  protected void connectionFailed() {
     updateCompletionTimeout(false);
     if (attempt != null) {
       log.request(NodeLog.Event.SPOILT_ANSWER, attempt.requestId(), "by " + attempt.endpointId());
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -7,7 +7,6 @@
 import merlinrouter.model.Outcome;
 import merlinrouter.node.config.EndpointList;
 import merlinrouter.node.config.NodeConfig;
-import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.OpenRequest;
 
@@ -16,9 +15,6 @@
  * connections. Used on the event loop only.
  */
 public final class UpstreamPool {
-  /** Maximum size of a body in bytes, of requests and of responses. */
-  public static final int MOST_BODY = ServiceProtocol.MAX_BODY_BYTES;
-
   private static final long SWEEP_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** The part of the file descriptors that upstream connections may take. */
--- a/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
@@ -3,7 +3,6 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 import merlinrouter.model.Outcome;
-import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.http.StrictDecimal;
 
 /**
@@ -41,12 +40,12 @@
         status == STATUS_SERVICE_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT;
     boolean notExecuted =
         mayProveNotExecuted
-            && ServiceProtocol.YES.equals(head.headers().get(ServiceProtocol.NOT_EXECUTED));
+            && EndpointProtocol.YES.equals(head.headers().get(EndpointProtocol.NOT_EXECUTED));
     return notExecuted ? Outcome.REJECTED : Outcome.ERROR;
   }
 
   private static double chargedUnitsOf(HttpResponse head, double maxChargedUnits) {
-    String text = head.headers().get(ServiceProtocol.CHARGED_UNITS);
+    String text = head.headers().get(EndpointProtocol.CHARGED_UNITS);
     double units = StrictDecimal.amount(text, maxChargedUnits);
     return Double.isNaN(units) ? 0 : units;
   }
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -45,7 +45,7 @@
 import merlinrouter.node.http.ResponseHandler;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
-import merlinrouter.node.upstream.UpstreamPool;
+import merlinrouter.node.upstream.EndpointProtocol;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.QuotaPlan;
 import merlinrouter.settings.RequestClass;
@@ -275,7 +275,7 @@
   /** Asks again as soon as it is answered. */
   private final class Client extends ResponseHandler {
     Client() {
-      super(UpstreamPool.MOST_BODY);
+      super(EndpointProtocol.MAX_BODY_BYTES);
     }
 
     @Override
@@ -318,12 +318,12 @@
     }
 
     @Override
-    protected boolean expectsAnswer() {
+    protected boolean expectsResponse() {
       return true;
     }
 
     @Override
-    protected void answered(HttpResponse answer, ByteBuf body) {
+    protected void responseReceived(HttpResponse answer, ByteBuf body) {
       served += answer.status().equals(HttpResponseStatus.OK) ? 1 : 0;
       if (++answered >= requests && System.nanoTime() - begun > INTERVALS) {
         done.complete(null);
@@ -338,7 +338,7 @@
     }
 
     @Override
-    protected void spoilt() {
+    protected void connectionFailed() {
       done.complete(null);
     }
   }
--- a/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
+++ b/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
@@ -13,8 +13,8 @@
   private final EndpointStartTimes times = new EndpointStartTimes(SLOW_START, NodeLog.silent());
 
   private long told(long monotonic, long wall, long startedAtWall) {
-    times.look(monotonic * S, wall * S);
-    return times.momentOf("s", startedAtWall * S, monotonic * S) / S;
+    times.observeClocks(monotonic * S, wall * S);
+    return times.toMonotonicNanos("s", startedAtWall * S, monotonic * S) / S;
   }
 
   @Test
@@ -26,20 +26,20 @@
 
   @Test
   void aStartThatAStepAgedCountsByItsYoungerAge() {
-    times.look(100 * S, 5_000 * S);
+    times.observeClocks(100 * S, 5_000 * S);
     assertEquals(103, told(104, 8_604, 5_003));
   }
 
   @Test
   void aStartInTheFutureBehindAStepBackIsNow() {
-    times.look(100 * S, 5_000 * S);
+    times.observeClocks(100 * S, 5_000 * S);
     assertEquals(104, told(104, 1_404, 5_003));
   }
 
   @Test
   void aStepIsForgottenOnceASlowStartIsOver() {
-    times.look(10_000 * S, 5_000 * S);
-    times.look(10_001 * S, 8_601 * S);
+    times.observeClocks(10_000 * S, 5_000 * S);
+    times.observeClocks(10_001 * S, 8_601 * S);
     assertEquals(10_018, told(10_020, 8_620, 8_618));
     times.forget("s");
     assertEquals(6_501, told(10_121, 8_721, 5_101));
