--- /dev/null
+++ b/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
@@ -0,0 +1,166 @@
+package merlinrouter.emulator.invariant;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.emulator.request.Attempt;
+import merlinrouter.emulator.request.ClientOutcome;
+import merlinrouter.emulator.request.RequestClass;
+import merlinrouter.emulator.request.RequestRecord;
+import merlinrouter.emulator.request.RequestRegistry;
+import org.junit.jupiter.api.Test;
+
+/** Each invariant is reported when it is violated, and only then. */
+class InvariantCheckerTest {
+  private static final long TIMEOUT_MILLIS = 1_000;
+  private static final String ENDPOINT_ID = "s-0";
+
+  private final RequestRegistry requests = new RequestRegistry();
+  private final InvariantChecker checker = new InvariantChecker(0);
+
+  private RequestRecord sentRequest(RequestClass requestClass) {
+    RequestRecord request = requests.register("n0", requestClass, TIMEOUT_MILLIS);
+    request.markSent();
+    return request;
+  }
+
+  private RequestRecord servedRequest(RequestClass requestClass) {
+    RequestRecord request = sentRequest(requestClass);
+    request.respond(200, request.expectedBody());
+    return request;
+  }
+
+  private void addAttempt(
+      RequestRecord request, long afterMillis, long timeoutMillis, boolean provesNotExecuted) {
+    long receivedAtNanos = request.sentAtNanos() + TimeUnit.MILLISECONDS.toNanos(afterMillis);
+    requests.addAttempt(
+        request.id(), new Attempt(ENDPOINT_ID, receivedAtNanos, timeoutMillis, provesNotExecuted));
+  }
+
+  private void assertViolates(RequestRecord request, Invariant... violated) {
+    List<Invariant> found = checker.check(request).stream().map(Violation::invariant).toList();
+    assertEquals(List.of(violated), found, request.toString());
+  }
+
+  @Test
+  void servedRequestViolatesNothing() {
+    RequestRecord request = servedRequest(RequestClass.NON_IDEMPOTENT);
+    addAttempt(request, 10, TIMEOUT_MILLIS - 10, false);
+    assertViolates(request);
+  }
+
+  @Test
+  void abandonedAndUnsentRequestsViolateNothing() {
+    RequestRecord abandoned = sentRequest(RequestClass.IDEMPOTENT);
+    abandoned.end(ClientOutcome.CLIENT_DISCONNECTED);
+    assertViolates(abandoned);
+    RequestRecord unsent = sentRequest(RequestClass.IDEMPOTENT);
+    unsent.end(ClientOutcome.NOT_CONNECTED);
+    assertViolates(unsent);
+  }
+
+  @Test
+  void missingResponseIsReported() {
+    RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
+    request.end(ClientOutcome.NO_RESPONSE);
+    assertViolates(request, Invariant.RESPONSE_IN_TIME);
+  }
+
+  @Test
+  void closeWithoutResponseIsReportedUnlessItMayRaceWithTheRequest() {
+    RequestRecord onNewConnection = sentRequest(RequestClass.IDEMPOTENT);
+    onNewConnection.end(ClientOutcome.CONNECTION_CLOSED);
+    assertViolates(onNewConnection, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
+
+    RequestRecord onIdleConnection = sentRequest(RequestClass.IDEMPOTENT);
+    onIdleConnection.setConnectionReused(true);
+    onIdleConnection.end(ClientOutcome.CONNECTION_CLOSED);
+    assertViolates(onIdleConnection);
+
+    addAttempt(onIdleConnection, 0, TIMEOUT_MILLIS, false);
+    assertViolates(onIdleConnection, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
+  }
+
+  @Test
+  void incompleteRequestMustEndAndMustNotBeForwarded() {
+    RequestRecord closed = sentRequest(RequestClass.IDEMPOTENT);
+    closed.markIncomplete();
+    closed.end(ClientOutcome.CONNECTION_CLOSED);
+    assertViolates(closed);
+
+    addAttempt(closed, 0, TIMEOUT_MILLIS, false);
+    assertViolates(closed, Invariant.INCOMPLETE_REQUEST_ENDED);
+
+    RequestRecord ignored = sentRequest(RequestClass.IDEMPOTENT);
+    ignored.markIncomplete();
+    ignored.end(ClientOutcome.NO_RESPONSE);
+    assertViolates(ignored, Invariant.INCOMPLETE_REQUEST_ENDED);
+  }
+
+  @Test
+  void responseOfAnotherRequestIsReported() {
+    RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
+    request.respond(200, RequestRecord.expectedBody("another"));
+    assertViolates(request, Invariant.OWN_RESPONSE_ONLY);
+  }
+
+  @Test
+  void attemptAfterTheEndIsReported() {
+    RequestRecord request = servedRequest(RequestClass.IDEMPOTENT);
+    addAttempt(request, 900, 100, false);
+    assertViolates(request, Invariant.NO_ATTEMPT_AFTER_END);
+  }
+
+  @Test
+  void forwardedTimeoutBeyondTheDeadlineIsReported() {
+    RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
+    addAttempt(request, 500, 650, false);
+    assertViolates(request);
+    addAttempt(request, 500, 651, false);
+    assertViolates(request, Invariant.FORWARDED_TIMEOUT_WITHIN_DEADLINE);
+  }
+
+  @Test
+  void retryOfNonIdempotentRequestIsReportedUnlessItWasNotExecuted() {
+    RequestRecord rejectedFirst = servedRequest(RequestClass.NON_IDEMPOTENT);
+    addAttempt(rejectedFirst, 0, TIMEOUT_MILLIS, true);
+    addAttempt(rejectedFirst, 0, TIMEOUT_MILLIS, false);
+    assertViolates(rejectedFirst);
+
+    addAttempt(rejectedFirst, 0, TIMEOUT_MILLIS, false);
+    assertViolates(rejectedFirst, Invariant.NON_IDEMPOTENT_NOT_RETRIED);
+
+    RequestRecord idempotent = servedRequest(RequestClass.IDEMPOTENT);
+    addAttempt(idempotent, 0, TIMEOUT_MILLIS, false);
+    addAttempt(idempotent, 0, TIMEOUT_MILLIS, false);
+    assertViolates(idempotent);
+  }
+
+  @Test
+  void attemptAtDrainingEndpointIsReportedAfterTheGracePeriod() {
+    RequestRecord request = servedRequest(RequestClass.IDEMPOTENT);
+    addAttempt(request, 0, TIMEOUT_MILLIS, false);
+    checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 7));
+    assertViolates(request);
+    checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 8));
+    assertViolates(request, Invariant.NOT_FORWARDED_TO_DRAINING);
+  }
+
+  @Test
+  void drainingPublishedShortlyBeforeAnOutageCountsFromItsEnd() {
+    RequestRecord request = servedRequest(RequestClass.IDEMPOTENT);
+    addAttempt(request, 0, TIMEOUT_MILLIS, false);
+    checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 20));
+    checker.discoveryRecovered(secondsBefore(request, 13), secondsBefore(request, 5));
+    assertViolates(request, Invariant.NOT_FORWARDED_TO_DRAINING);
+
+    checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 20));
+    checker.discoveryRecovered(secondsBefore(request, 15), secondsBefore(request, 5));
+    assertViolates(request);
+  }
+
+  private static long secondsBefore(RequestRecord request, long seconds) {
+    return request.sentAtNanos() - TimeUnit.SECONDS.toNanos(seconds);
+  }
+}
