--- a/src/test/java/merlinrouter/gateway/SlowStartTest.java
+++ b/src/test/java/merlinrouter/gateway/SlowStartTest.java
@@ -1,8 +1,9 @@
 package merlinrouter.gateway;
 
-import static merlinrouter.gateway.Host.FREE;
-import static merlinrouter.gateway.Host.MS;
-import static merlinrouter.gateway.Host.SAFE;
+import static merlinrouter.settings.TestSettings.IDEMPOTENT;
+import static merlinrouter.settings.TestSettings.UNLIMITED;
+import static merlinrouter.time.Nanos.PER_MILLI;
+import static merlinrouter.time.Nanos.PER_SECOND;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -28,15 +29,18 @@
    */
   private static final double FROM = 0.25, MULTIPLE = 3;
 
-  private static final long WARM = 10_000 * MS, SPAN = 2_000 * MS, WORK = 100 * MS, STEP = 10 * MS;
+  private static final long WARM = 10 * PER_SECOND,
+      SPAN = 2 * PER_SECOND,
+      WORK = 100 * PER_MILLI,
+      STEP = 10 * PER_MILLI;
 
   /** What a warm server does: so many requests of mean work at once. */
   private static final int SLOTS = 2;
 
   /** A fleet on one clock, whose servers answer each request after its work. */
   private static final class Fleet {
-    private final List<Host> hosts = new ArrayList<>();
-    private final List<Deque<Host.Sent>> out = new ArrayList<>();
+    private final List<SimulatedHost> hosts = new ArrayList<>();
+    private final List<Deque<SimulatedHost.Attempt>> out = new ArrayList<>();
     private final List<Deque<Long>> due = new ArrayList<>();
     private final int[] taken;
     private final List<Long> toCold = new ArrayList<>();
@@ -46,20 +50,20 @@
     Fleet(int gateways) {
       taken = new int[gateways];
       for (int i = 0; i < gateways; i++) {
-        hosts.add(new Host(FREE, gateways, i, false, 100 + i, false));
+        hosts.add(new SimulatedHost(UNLIMITED, gateways, i, false, 100 + i, false));
         out.add(new ArrayDeque<>());
         due.add(new ArrayDeque<>());
       }
     }
 
     long now() {
-      return hosts.get(0).now;
+      return hosts.get(0).nowNanos;
     }
 
     void servers(String prefix, int count, long startedAt) {
-      for (Host host : hosts) {
+      for (SimulatedHost host : hosts) {
         for (int i = 0; i < count; i++) {
-          host.server(prefix + i, 0, EndpointState.READY, startedAt);
+          host.updateEndpoint(prefix + i, 0, EndpointState.READY, startedAt);
         }
       }
     }
@@ -69,7 +73,7 @@
       for (long until = now() + span; now() < until; ) {
         double expected = rate * STEP / 1e9;
         for (; expected > 0 && random.nextDouble() < expected; expected--) {
-          hosts.get(random.nextInt(hosts.size())).request(SAFE, 1);
+          hosts.get(random.nextInt(hosts.size())).request(IDEMPOTENT, 1);
           begun++;
         }
         step();
@@ -78,8 +82,8 @@
 
     /** One request at each gateway, all in the same moment. */
     void burst() {
-      for (Host host : hosts) {
-        host.request(SAFE, 1);
+      for (SimulatedHost host : hosts) {
+        host.request(IDEMPOTENT, 1);
         begun++;
       }
       step();
@@ -87,22 +91,23 @@
 
     private void step() {
       for (int i = 0; i < hosts.size(); i++) {
-        Host host = hosts.get(i);
-        host.pass(STEP);
-        while (!due.get(i).isEmpty() && due.get(i).peek() <= host.now) {
+        SimulatedHost host = hosts.get(i);
+        host.advance(STEP);
+        while (!due.get(i).isEmpty() && due.get(i).peek() <= host.nowNanos) {
           due.get(i).poll();
-          Host.Sent sent = out.get(i).poll();
+          SimulatedHost.Attempt sent = out.get(i).poll();
           served++;
           host.gateway.attemptEnded(
-              host.now,
-              new AttemptResult(sent.id(), Outcome.OK, WORK, sent.server(), true, 0, 0, List.of()));
+              host.nowNanos,
+              new AttemptResult(
+                  sent.requestId(), Outcome.OK, WORK, sent.endpointId(), true, 0, 0, List.of()));
         }
-        for (; taken[i] < host.sent.size(); taken[i]++) {
-          Host.Sent sent = host.sent.get(taken[i]);
+        for (; taken[i] < host.attempts.size(); taken[i]++) {
+          SimulatedHost.Attempt sent = host.attempts.get(taken[i]);
           out.get(i).add(sent);
-          due.get(i).add(host.now + WORK);
-          if (sent.server().equals("cold0")) {
-            toCold.add(host.now);
+          due.get(i).add(host.nowNanos + WORK);
+          if (sent.endpointId().equals("cold0")) {
+            toCold.add(host.nowNanos);
           }
         }
       }
@@ -126,11 +131,11 @@
             got <= budget + 2 * Math.sqrt(budget) + 2,
             got
                 + " within "
-                + SPAN / MS
+                + SPAN / PER_MILLI
                 + " ms, of a budget of "
                 + budget
                 + ", "
-                + (toCold.get(first) - startedAt) / MS
+                + (toCold.get(first) - startedAt) / PER_MILLI
                 + " ms after the start");
       }
     }
@@ -140,10 +145,10 @@
   void oneColdServerAmongWarmOnesHoldsUnderABusyFleetOf120() {
     Fleet fleet = new Fleet(120);
     fleet.servers("warm", 9, 0);
-    fleet.ask(150, 5_000 * MS);
+    fleet.ask(150, 5 * PER_SECOND);
     long start = fleet.now();
     fleet.servers("cold", 1, start);
-    fleet.ask(150, 10_000 * MS);
+    fleet.ask(150, 10 * PER_SECOND);
     fleet.check(start);
   }
 
@@ -152,12 +157,12 @@
   void aBurstBehindAQuietSpellDoesNotSpendWhatAllHaveSavedUp() {
     Fleet fleet = new Fleet(120);
     fleet.servers("warm", 3, 0);
-    fleet.ask(50, 5_000 * MS);
+    fleet.ask(50, 5 * PER_SECOND);
     long start = fleet.now();
     fleet.servers("cold", 1, start);
     for (int i = 0; i < 4; i++) {
-      fleet.ask(60, 500 * MS);
-      fleet.ask(2, 1_500 * MS);
+      fleet.ask(60, 500 * PER_MILLI);
+      fleet.ask(2, 1500 * PER_MILLI);
       fleet.burst();
     }
     fleet.check(start);
@@ -168,13 +173,13 @@
   void aFleetThatComesBackColdAsAWholeIsNotSentWhatAWarmOneBears() {
     Fleet fleet = new Fleet(120);
     fleet.servers("warm", 4, 0);
-    fleet.ask(70, 5_000 * MS);
+    fleet.ask(70, 5 * PER_SECOND);
     long start = fleet.now();
-    for (Host host : fleet.hosts) {
-      host.gateway.endpointsUpdated(host.now, EndpointUpdateType.FULL, List.of());
+    for (SimulatedHost host : fleet.hosts) {
+      host.gateway.endpointsUpdated(host.nowNanos, EndpointUpdateType.FULL, List.of());
     }
     fleet.servers("cold", 4, start);
-    fleet.ask(120, 8_000 * MS);
+    fleet.ask(120, 8 * PER_SECOND);
     fleet.check(start);
   }
 
@@ -186,7 +191,7 @@
     Fleet fleet = new Fleet(30);
     long start = fleet.now();
     fleet.servers("cold", 6, start);
-    fleet.ask(20, 8_000 * MS);
+    fleet.ask(20, 8 * PER_SECOND);
     fleet.check(start);
     assertTrue(fleet.served > fleet.begun / 8, "served " + fleet.served + " of " + fleet.begun);
   }
