--- /dev/null
+++ b/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
@@ -0,0 +1,147 @@
+package merlinrouter.gateway;
+
+import static merlinrouter.settings.TestSettings.IDEMPOTENT;
+import static merlinrouter.settings.TestSettings.quota;
+import static merlinrouter.time.Nanos.PER_MILLI;
+import static merlinrouter.time.Nanos.PER_SECOND;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import merlinrouter.model.Outcome;
+import org.junit.jupiter.api.Test;
+
+/** How many calls to the shared counter a gateway makes, and for which requests. */
+class CounterCallRateTest {
+  @Test
+  void unknownCustomersThatArriveTogetherDoNotExceedTheRate() {
+    SimulatedHost host = new SimulatedHost(quota(10, 30), 300, 0).withEndpoints(20);
+    int maxCalls = 0;
+    for (int tick = 0; tick < 500; tick++) {
+      // A hundred unknown customers arrive at once, and the counter rejects every call.
+      if (tick % 100 == 0) {
+        for (int customer = 0; customer < 100; customer++) {
+          host.request(IDEMPOTENT, 0, 1000 * tick + customer, 2, host.nowNanos + 3 * PER_SECOND);
+        }
+      }
+      host.advance(10 * PER_MILLI);
+      List<SimulatedHost.CounterCall> calls = host.takeCounterCalls();
+      maxCalls = Math.max(maxCalls, calls.size());
+      calls.forEach(call -> host.endCounterCall(call, Outcome.REJECTED, 0));
+    }
+    assertTrue(maxCalls >= 1 && maxCalls <= 2, "calls at one moment: " + maxCalls);
+  }
+
+  @Test
+  void callsWithMoreAtStakeGoFirst() {
+    SimulatedHost host = new SimulatedHost(quota(10, 30), 300, 0).withEndpoints(20);
+    int[] callsByUnits = new int[5];
+    for (int tick = 0; tick < 2000; tick++) {
+      // Each customer comes with one request, of 1 or 4 units by turns; calls suffice for few.
+      int units = tick % 2 == 0 ? 1 : 4;
+      String id = host.request(IDEMPOTENT, 0, tick, units, host.nowNanos + 3 * PER_SECOND);
+      // Every answer is slow, so that the rate stays low.
+      host.advance(20 * PER_MILLI);
+      for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
+        callsByUnits[(int) Math.max(0, call.units())]++;
+        host.answerCounterCall(call, call.units());
+      }
+      host.attemptsOf(id).forEach(attempt -> host.endAttempt(attempt.requestId(), Outcome.OK));
+    }
+    assertTrue(
+        callsByUnits[4] > 2 * callsByUnits[1], "calls by units: " + Arrays.toString(callsByUnits));
+  }
+
+  /** The counter bears a rate that all gateways of a fleet share from the start. */
+  @Test
+  void theInitialRateIsDividedAmongTheGateways() {
+    assertTrue(callsInFirstSecond(2) >= 20);
+    assertTrue(callsInFirstSecond(50) <= 6);
+  }
+
+  private static int callsInFirstSecond(int gatewayCount) {
+    SimulatedHost host = new SimulatedHost(quota(5, 10), gatewayCount, 0).withEndpoints(4);
+    int answered = 0;
+    for (long customer = 0; customer < 40; customer++) {
+      host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 3 * PER_SECOND);
+      host.advance(25 * PER_MILLI);
+      for (; answered < host.counterCalls.size(); answered++) {
+        SimulatedHost.CounterCall call = host.counterCalls.get(answered);
+        host.answerCounterCall(call, call.units());
+      }
+    }
+    return answered;
+  }
+
+  /** A connection that breaks now and then shows neither a silent nor an overloaded counter. */
+  @Test
+  void brokenConnectionsNeitherSilenceTheCounterNorLowerTheRate() {
+    SimulatedHost host = new SimulatedHost(quota(5, 10), 4, 0).withEndpoints(4);
+    int calls = 0;
+    for (int tick = 0; tick < 3000; tick++) {
+      if (tick % 4 == 0) {
+        host.request(IDEMPOTENT, 0, tick % 40, 1, host.nowNanos + 900 * PER_MILLI);
+      }
+      host.advance(10 * PER_MILLI);
+      for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
+        calls++;
+        host.endCounterCall(call, calls % 3 == 0 ? Outcome.RESET : Outcome.OK, call.units());
+      }
+    }
+    assertTrue(
+        host.logLines.stream().noneMatch(line -> line.contains("silent")), "" + host.logLines);
+    assertTrue(calls > 300, calls + " calls in 30 s");
+  }
+
+  /** Some calls are late by chance, so a rate lowered for each would leave the counter idle. */
+  @Test
+  void theRateFallsWhereAllAnswersAreLateButNotForAFew() {
+    int someLate = callsWithLateAnswers(5);
+    int allLate = callsWithLateAnswers(1);
+    assertTrue(someLate > 300, "of 500 customers: " + someLate);
+    assertTrue(allLate < someLate / 3, "while every answer is late: " + allLate);
+  }
+
+  /** Returns the calls for 500 customers in 25 s, where every so many answers one is late. */
+  private static int callsWithLateAnswers(int lateEvery) {
+    SimulatedHost host = new SimulatedHost(quota(10, 30), 14, 0).withEndpoints(20);
+    int calls = 0;
+    for (long customer = 0; customer < 500; customer++) {
+      host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 900 * PER_MILLI);
+      List<SimulatedHost.CounterCall> made = host.takeCounterCalls();
+      calls++;
+      long answerNanos = calls % lateEvery == 0 ? 40 * PER_MILLI : 5 * PER_MILLI;
+      calls += made.size() - 1;
+      host.nowNanos += answerNanos;
+      made.forEach(call -> host.answerCounterCall(call, call.units()));
+      host.advance(50 * PER_MILLI - answerNanos);
+    }
+    return calls;
+  }
+
+  /** Calls that a decision waits for must not use up the rate that reports need. */
+  @Test
+  void useIsReportedThoughCallsAreScarce() {
+    SimulatedHost host = new SimulatedHost(quota(10, 30), 14, 0).withEndpoints(20);
+    double reportedUnits = 0;
+    int ended = 0;
+    for (int tick = 0; tick < 2000; tick++) {
+      // Ten customers come again and again; each of the others is unknown and needs a total.
+      long customer = tick % 4 == 0 ? tick % 10 : 100 + tick;
+      host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 900 * PER_MILLI);
+      // As late as the answers of a counter at its best load.
+      host.nowNanos += 20 * PER_MILLI;
+      for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
+        reportedUnits += call.units();
+        host.answerCounterCall(call, call.units());
+      }
+      for (; ended < host.attempts.size(); ended++) {
+        host.endAttempt(host.attempts.get(ended).requestId(), Outcome.OK);
+      }
+      host.advance(10 * PER_MILLI);
+    }
+    assertTrue(
+        reportedUnits > 0.9 * host.attempts.size(),
+        "reported " + reportedUnits + " of " + host.attempts.size());
+  }
+}
--- /dev/null
+++ b/src/test/java/merlinrouter/gateway/RetentionTest.java
@@ -0,0 +1,68 @@
+package merlinrouter.gateway;
+
+import static merlinrouter.settings.TestSettings.IDEMPOTENT;
+import static merlinrouter.settings.TestSettings.NON_IDEMPOTENT;
+import static merlinrouter.settings.TestSettings.UNLIMITED;
+import static merlinrouter.time.Nanos.PER_SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.QuotaPlan;
+import org.junit.jupiter.api.Test;
+
+/** Customers and endpoints always change, so what is not needed any more must be dropped. */
+class RetentionTest {
+  @Test
+  void aCustomerIsDroppedWhenItsQuotaHasRefilledAndNotBefore() {
+    QuotaPlan plan = new QuotaPlan(1, 4, 0, 1, 0, 1, 2, 8, 4);
+    SimulatedHost host = SimulatedHost.withoutCounter(plan, 1).withEndpoints(2);
+    host.advance(10 * PER_SECOND);
+    for (long customer = 0; customer < 300; customer++) {
+      host.endAttempt(requestUnits(host, customer, 1), Outcome.OK);
+    }
+    String open = host.request(NON_IDEMPOTENT, 0, 1000, 1, host.nowNanos + 90 * PER_SECOND);
+    host.endAttempt(requestUnits(host, 1001, 4), Outcome.OK);
+    host.advance(2 * PER_SECOND);
+    assertEquals(304, host.gateway.trackedCustomersAndEndpoints());
+    String early = requestUnits(host, 1001, 4);
+    assertTrue(host.rejected.contains(early), "a quota that is used up must not be forgotten");
+    host.advance(50 * PER_SECOND);
+    assertEquals(
+        3,
+        host.gateway.trackedCustomersAndEndpoints(),
+        "two endpoints and the customer whose request is open");
+    host.endAttempt(open, Outcome.OK);
+    host.advance(50 * PER_SECOND);
+    assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+    String later = requestUnits(host, 1001, 4);
+    assertEquals(1, host.attemptsOf(later).size());
+  }
+
+  private static String requestUnits(SimulatedHost host, long customer, double units) {
+    return host.request(IDEMPOTENT, 0, customer, units, host.nowNanos + 3 * PER_SECOND);
+  }
+
+  @Test
+  void aRemovedEndpointIsDroppedWithItsLastAttempt() {
+    SimulatedHost host = new SimulatedHost(UNLIMITED, 1, 0);
+    host.updateEndpoint("a", 0, EndpointState.READY, 0);
+    String id = host.request(NON_IDEMPOTENT, 0, 1, 1, host.nowNanos + 90 * PER_SECOND);
+    for (int i = 0; i < 100; i++) {
+      host.updateEndpoint("n" + i, 0, EndpointState.READY, 0);
+      host.updateEndpoint("n" + i, 0, EndpointState.REMOVED, 0);
+    }
+    assertEquals(
+        102, host.gateway.trackedCustomersAndEndpoints(), "for a while they might come back");
+    host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
+    host.advance(31 * PER_SECOND);
+    host.updateEndpoint("b", 0, EndpointState.READY, 0);
+    assertEquals(
+        3, host.gateway.trackedCustomersAndEndpoints(), "the customer, b, and a with its attempt");
+    host.endAttempt(id, Outcome.RESET);
+    assertTrue(host.failed.contains(id));
+    host.updateEndpoint("unknown", 0, EndpointState.REMOVED, 0);
+    assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+  }
+}
