--- a/src/main/java/merlinrouter/control/ConcurrencyController.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyController.java
@@ -15,8 +15,11 @@
   /** Attempts in flight for each ready endpoint, over all gateways together. */
   private static final double MAX_IN_FLIGHT_PER_ENDPOINT = 6;
 
-  /** The least level, as a number of attempts and as a part of the limit. */
-  private static final double MIN_LEVEL = 0.25;
+  /** The least limit, in attempts. */
+  private static final double MIN_LIMIT = 0.25;
+
+  /** The least level, as a fraction of the limit. */
+  private static final double MIN_RELATIVE_LEVEL = 0.25;
 
   /** Penalty on changes of the level; above that of the shares, since this loop is the slower. */
   private static final double CHANGE_PENALTY = 0.7;
@@ -27,7 +30,7 @@
   /** The quantile of the service times that has to meet the objective. */
   private static final double SLOW_QUANTILE = 0.9;
 
-  /** Queueing time takes at most this much of the objective. */
+  /** At least this fraction of the objective is left for service, whatever the queueing time. */
   private static final double MIN_OBJECTIVE_LEFT = 1.0 / 4;
 
   private static final int MIN_OBSERVATIONS = 3;
@@ -52,7 +55,7 @@
     this.gatewayCount = gatewayCount;
   }
 
-  /** How many attempts may be in flight; at least 0.25. */
+  /** How many attempts may be in flight; may be below 1. */
   public double level() {
     return level;
   }
@@ -65,7 +68,7 @@
   /** Adapts the limit to the number of ready endpoints. */
   public void endpointCountChanged(int readyEndpoints) {
     double previousLimit = limit;
-    double part = Math.max(MIN_LEVEL, MAX_IN_FLIGHT_PER_ENDPOINT * readyEndpoints / gatewayCount);
+    double part = Math.max(MIN_LIMIT, MAX_IN_FLIGHT_PER_ENDPOINT * readyEndpoints / gatewayCount);
     limit = wholeAboveOne(part);
     boolean atLimit = model.updates() == 0 || level >= previousLimit;
     level = atLimit ? limit : Math.min(level, limit);
@@ -114,7 +117,7 @@
             : (relativeLevel + 1) / 2;
     previousInverseLatency = inverseLatency;
     saturated = false;
-    next = Double.isFinite(next) ? Math.max(MIN_LEVEL, Math.min(1, next)) : 1;
+    next = Double.isFinite(next) ? Math.max(MIN_RELATIVE_LEVEL, Math.min(1, next)) : 1;
     level = wholeAboveOne(next * limit);
   }
 
--- a/src/main/java/merlinrouter/control/ConcurrencyLimiter.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyLimiter.java
@@ -3,7 +3,8 @@
 import merlinrouter.time.EventClock;
 
 /**
- * Holds the number of attempts in flight below the concurrency level. A level below 1 is kept on
+ * Holds first attempts back while as many attempts are in flight as the concurrency level allows.
+ * Retries are counted and not held back: the retry budget bounds them. A level below 1 is kept on
  * average: after an attempt the limiter pauses, since hundreds of gateways with one attempt in
  * flight each may be too many for a small fleet of endpoints.
  */
@@ -20,7 +21,7 @@
   }
 
   /** Whether another first attempt may start now. */
-  public boolean permitsAttempt() {
+  public boolean permitsFirstAttempt() {
     return inFlight < controller.level() && clock.nowNanos() >= pausedUntilNanos;
   }
 
@@ -30,7 +31,7 @@
   }
 
   /** Counts an attempt that starts. */
-  public void attemptStarted() {
+  public void acquire() {
     inFlight++;
     if (isSaturated()) {
       controller.markSaturated();
@@ -38,7 +39,7 @@
   }
 
   /** Counts an attempt that ended after some time, in nanoseconds. */
-  public void attemptEnded(long durationNanos) {
+  public void release(long durationNanos) {
     inFlight--;
     double pausePerWork = Math.max(0, 1 / controller.level() - 1);
     pausedUntilNanos = clock.nowNanos() + (long) (durationNanos * pausePerWork);
--- a/src/main/java/merlinrouter/control/ShareController.java
+++ b/src/main/java/merlinrouter/control/ShareController.java
@@ -150,7 +150,7 @@
   }
 
   private static double value(ClassStatistics statistics) {
-    return statistics.requestClass().priorityWeight() * statistics.meanValueFactor();
+    return statistics.requestClass().priorityWeight() * statistics.meanPlanValue();
   }
 
   /** Clips shares to their range and scales them to sum 1; what is no number gets the least. */
--- a/src/main/java/merlinrouter/control/UtilityOptimizer.java
+++ b/src/main/java/merlinrouter/control/UtilityOptimizer.java
@@ -102,7 +102,7 @@
       double lateFraction = statistics.requestClass().lateValueFraction();
       double valuePerResponse = lateFraction + (1 - lateFraction) * (1 - Math.exp(-inverseLatency));
       return statistics.requestClass().priorityWeight()
-          * statistics.meanValueFactor()
+          * statistics.meanPlanValue()
           * served
           * valuePerResponse;
     }
--- a/src/main/java/merlinrouter/gateway/Gateway.java
+++ b/src/main/java/merlinrouter/gateway/Gateway.java
@@ -145,26 +145,10 @@
     if (pending == null || !pending.hasAttemptInFlight()) {
       return;
     }
-    dispatcher.attemptEnded(result.durationNanos());
-    loadBalancer.attemptEnded(pending.endpoint(), pending, result);
-    pending.statistics().recordAttempt(pending.sample(result, nowNanos));
-    settleUnits(pending, result);
-    pending.attemptEnded(result.outcome());
-    if (result.requestComplete() || pending.state().isAbandoned()) {
-      dispatcher.finish(pending);
-    } else {
-      dispatcher.retryOrGiveUp(pending, result.outcome().provesNotExecuted());
-    }
+    dispatcher.completeAttempt(pending, result);
     dispatcher.dispatchQueued();
   }
 
-  private void settleUnits(PendingRequest pending, AttemptResult result) {
-    boolean known = settings.counter().reportsActualUnits() && result.actualUnits() > 0;
-    if (known && result.outcome() == Outcome.OK) {
-      pending.reservation().settle(result.actualUnits());
-    }
-  }
-
   @Override
   public void responseStarted(long nowNanos, String requestId) {
     clock.advanceTo(nowNanos);
@@ -185,12 +169,11 @@
       case IN_FLIGHT -> pending.transitionTo(RequestState.ABANDONED_IN_FLIGHT);
       case QUEUED -> {
         pending.queue().remove(pending);
-        dispatcher.finish(pending);
+        dispatcher.close(pending);
       }
-      case RECEIVED, ABANDONED_AWAITING_COUNTER, ABANDONED_IN_FLIGHT, FINISHED -> {
-        // Nothing more is owed, or the end of what is under way will be.
+      default -> {
+        // The client has disconnected before; the request ends with what is under way for it.
       }
-      default -> throw new IllegalStateException(pending.state().toString());
     }
   }
 
@@ -221,6 +204,7 @@
     quotas.decideOverdueAdmissions();
     quotas.reportUse();
     if (nowNanos >= nextControlAtNanos) {
+      // Intervals that a stall has missed are made up for, one with each timer.
       nextControlAtNanos += CONTROL_INTERVAL_NANOS;
       endControlInterval();
       quotas.dropDisposableAccounts();
@@ -251,7 +235,7 @@
 
     @Override
     public void rejected(QuotaReservation reservation, double retryAfterSeconds) {
-      dispatcher.reject(dispatcher.get(reservation.requestId()), retryAfterSeconds);
+      dispatcher.rejectOverQuota(dispatcher.get(reservation.requestId()), retryAfterSeconds);
     }
 
     @Override
@@ -261,7 +245,7 @@
 
     @Override
     public void abandoned(QuotaReservation reservation) {
-      dispatcher.finish(dispatcher.get(reservation.requestId()));
+      dispatcher.close(dispatcher.get(reservation.requestId()));
     }
   }
 }
--- a/src/main/java/merlinrouter/gateway/GatewayActions.java
+++ b/src/main/java/merlinrouter/gateway/GatewayActions.java
@@ -15,14 +15,14 @@
   void startAttempt(String requestId, String endpointId, long timeoutNanos);
 
   /**
-   * Sends the final response: rejected, a retry is harmless.
+   * Sends the final response: rejected; a retry by the client is harmless.
    *
    * @param requestId the request to reject
    * @param retryAfterNanos time after which the client should retry; 0 for no advice
    */
   void reject(String requestId, long retryAfterNanos);
 
-  /** Sends the final response: failed, with no promise about the effect. */
+  /** Sends the final response: failed; a retry by the client may execute the request again. */
   void fail(String requestId);
 
   /** Starts a health check of an endpoint; requested only where the settings allow it. */
--- a/src/main/java/merlinrouter/gateway/GatewayEvents.java
+++ b/src/main/java/merlinrouter/gateway/GatewayEvents.java
@@ -16,13 +16,16 @@
   /** The endpoint list, or changes to it. */
   void endpointsUpdated(long nowNanos, EndpointUpdateType type, List<Endpoint> endpoints);
 
-  /** A request arrived; exactly one final response is owed. */
+  /**
+   * A request arrived; exactly one final response is owed. A request with the id of one that is
+   * open is ignored: a host must not deliver it.
+   */
   void requestReceived(long nowNanos, ClientRequest request);
 
   /** An attempt is over; each attempt ends exactly once. */
   void attemptEnded(long nowNanos, AttemptResult result);
 
-  /** The response of a request began to stream; no deadline binds it any more. */
+  /** The response of a request began to stream. Only the simulator tells it; nothing follows. */
   void responseStarted(long nowNanos, String requestId);
 
   /** The client disconnected; nothing is owed any more. */
@@ -31,7 +34,7 @@
   /** A call to the counter ended; calls with one key end in their order. */
   void counterCallEnded(long nowNanos, long counterKey, Outcome outcome, double total);
 
-  /** A health check ended; the load report is empty if there is none. */
+  /** A health check ended, however it did; the load report is empty if there is none. */
   void healthCheckEnded(
       long nowNanos,
       String endpointId,
--- a/src/main/java/merlinrouter/gateway/PendingRequest.java
+++ b/src/main/java/merlinrouter/gateway/PendingRequest.java
@@ -9,6 +9,7 @@
 import merlinrouter.queue.QueuedRequest;
 import merlinrouter.quota.QuotaReservation;
 import merlinrouter.retry.ExecutionHistory;
+import merlinrouter.retry.RetryCandidate;
 import merlinrouter.settings.RequestClass;
 import merlinrouter.stats.AttemptSample;
 import merlinrouter.stats.ClassStatistics;
@@ -124,6 +125,17 @@
     return endpoint != null;
   }
 
+  /** The request as the retry policy sees it after an attempt with some outcome. */
+  RetryCandidate asRetryCandidate(Outcome lastOutcome) {
+    return new RetryCandidate(
+        requestClass(),
+        history,
+        attempts,
+        objectiveAtNanos(),
+        statistics().meanServiceSeconds(),
+        lastOutcome);
+  }
+
   /** What the attempt that ended now showed. */
   AttemptSample sample(AttemptResult result, long nowNanos) {
     return new AttemptSample(
--- a/src/main/java/merlinrouter/gateway/RequestDispatcher.java
+++ b/src/main/java/merlinrouter/gateway/RequestDispatcher.java
@@ -6,7 +6,9 @@
 import merlinrouter.control.ConcurrencyLimiter;
 import merlinrouter.loadbalancing.EndpointTracker;
 import merlinrouter.loadbalancing.LoadBalancer;
+import merlinrouter.model.AttemptResult;
 import merlinrouter.model.Endpoint;
+import merlinrouter.model.Outcome;
 import merlinrouter.queue.ClassQueue;
 import merlinrouter.queue.FairQueue;
 import merlinrouter.queue.LoadShedder;
@@ -34,6 +36,7 @@
   private final RetryPolicy retryPolicy;
   private final RetryAfter retryAfter;
   private final DeadlinePolicy deadlinePolicy;
+  private final boolean reportsActualUnits;
   private final Map<String, PendingRequest> requestsById = new HashMap<>();
 
   /**
@@ -54,6 +57,7 @@
     this.fairQueue = fairQueue;
     this.concurrencyController = concurrencyController;
     this.loadBalancer = loadBalancer;
+    reportsActualUnits = settings.counter().reportsActualUnits();
     concurrencyLimiter = new ConcurrencyLimiter(concurrencyController, clock);
     loadShedder = new LoadShedder<>(fairQueue, concurrencyController, concurrencyLimiter);
     retryPolicy = new RetryPolicy(settings.limits(), retryBudget, clock, timerIntervalNanos);
@@ -86,7 +90,7 @@
     }
   }
 
-  /** Gives up queued requests that have waited too long; a later one may expire first. */
+  /** Gives up queued requests that cannot meet their objective; not only the first of a queue. */
   void giveUpExpired() {
     for (ClassQueue<PendingRequest> queue : fairQueue.queues()) {
       if (queue.isEmpty()) {
@@ -101,15 +105,18 @@
     }
   }
 
-  /** Whether a request cannot be attempted any more and be answered within its objective. */
+  /** Whether a request that has not been attempted cannot be served within its objective. */
   boolean cannotMeetObjective(PendingRequest pending) {
     return deadlinePolicy.cannotMeetObjective(
-        pending.objectiveAtNanos(), pending.attempts() == 0, pending.expectedServiceSeconds());
+        pending.objectiveAtNanos(), pending.expectedServiceSeconds());
   }
 
-  /** Starts attempts of queued requests while the concurrency level permits. */
+  /**
+   * Starts first attempts of queued requests while the concurrency level permits. Where no endpoint
+   * may get the next request now, the others wait behind it, whatever their class.
+   */
   void dispatchQueued() {
-    while (concurrencyLimiter.permitsAttempt()) {
+    while (concurrencyLimiter.permitsFirstAttempt()) {
       ClassQueue<PendingRequest> queue = fairQueue.next();
       if (queue == null) {
         return;
@@ -145,51 +152,62 @@
     pending.reservation().markForwarded();
     pending.attemptStarted(endpoint, clock.nowNanos());
     loadBalancer.attemptStarted(endpoint, pending);
-    concurrencyLimiter.attemptStarted();
+    concurrencyLimiter.acquire();
     long timeoutNanos =
         deadlinePolicy.attemptTimeoutNanos(
             pending.requestClass(), pending.objectiveAtNanos(), pending.request().deadlineNanos());
     actions.startAttempt(pending.id(), endpoint.endpoint().id(), timeoutNanos);
   }
 
-  /** Starts another attempt after one that failed, or sends the final response. */
-  void retryOrGiveUp(PendingRequest pending, boolean previousNotExecuted) {
-    boolean mayRetry =
-        retryPolicy.mayRetry(
-            pending.requestClass(),
-            pending.history(),
-            pending.attempts(),
-            pending.objectiveAtNanos(),
-            pending.statistics().meanServiceSeconds(),
-            previousNotExecuted);
+  /** Learns from an attempt that ended, and retries the request or ends it. */
+  void completeAttempt(PendingRequest pending, AttemptResult result) {
+    concurrencyLimiter.release(result.durationNanos());
+    loadBalancer.attemptEnded(pending.endpoint(), pending, result);
+    pending.statistics().recordAttempt(pending.sample(result, clock.nowNanos()));
+    settleUnits(pending, result);
+    pending.attemptEnded(result.outcome());
+    if (result.requestComplete() || pending.state().isAbandoned()) {
+      close(pending);
+    } else {
+      retryOrGiveUp(pending, result.outcome());
+    }
+  }
+
+  private void settleUnits(PendingRequest pending, AttemptResult result) {
+    boolean known = reportsActualUnits && result.actualUnits() > 0;
+    if (known && result.outcome() == Outcome.OK) {
+      pending.reservation().settle(result.actualUnits());
+    }
+  }
+
+  private void retryOrGiveUp(PendingRequest pending, Outcome lastOutcome) {
+    boolean mayRetry = retryPolicy.mayRetry(pending.asRetryCandidate(lastOutcome));
     EndpointTracker endpoint = mayRetry ? chooseEndpoint(pending) : null;
     if (endpoint == null) {
       giveUp(pending);
     } else {
-      retryBudget.retryStarted(previousNotExecuted);
+      retryBudget.retryStarted(lastOutcome);
       startAttempt(pending, endpoint);
     }
   }
 
-  /** Notes that an attempt is not in flight any more. */
-  void attemptEnded(long durationNanos) {
-    concurrencyLimiter.attemptEnded(durationNanos);
-  }
-
-  /** Rejects a request whose quota is used up for some seconds. */
-  void reject(PendingRequest pending, double retryAfterSeconds) {
+  /** Rejects a request whose quota or hard limit is used up for some seconds. */
+  void rejectOverQuota(PendingRequest pending, double retryAfterSeconds) {
     actions.reject(pending.id(), retryAfter.nanos(retryAfterSeconds));
-    finish(pending);
+    close(pending);
   }
 
-  /** Sends the final response of a request that is not served: rejected if that is true. */
+  /**
+   * Sends the final response of a request that is not served: it is rejected if a retry by the
+   * client would be harmless, else failed.
+   */
   void giveUp(PendingRequest pending) {
-    if (RetryPolicy.mayReject(pending.requestClass(), pending.history())) {
+    if (RetryPolicy.isClientRetryHarmless(pending.requestClass(), pending.history())) {
       actions.reject(pending.id(), retryAfter.nanos(queueDrainSeconds(pending)));
     } else {
       actions.fail(pending.id());
     }
-    finish(pending);
+    close(pending);
   }
 
   /** When, by Little's law, what is queued now will have been sent. */
@@ -198,8 +216,8 @@
     return pending.statistics().meanServiceSeconds() * (1 + queuedPerLevel);
   }
 
-  /** Ends a request that is owed nothing more. */
-  void finish(PendingRequest pending) {
+  /** Ends a request that is owed nothing more; does nothing if it has ended. */
+  void close(PendingRequest pending) {
     if (requestsById.remove(pending.id()) != null) {
       pending.transitionTo(RequestState.FINISHED);
       pending.reservation().release();
--- a/src/main/java/merlinrouter/gateway/RequestState.java
+++ b/src/main/java/merlinrouter/gateway/RequestState.java
@@ -38,11 +38,6 @@
     return next().contains(state);
   }
 
-  /** Whether an attempt is in flight. */
-  boolean isInFlight() {
-    return this == IN_FLIGHT || this == ABANDONED_IN_FLIGHT;
-  }
-
   /** Whether the client has disconnected while something is under way. */
   boolean isAbandoned() {
     return this == ABANDONED_AWAITING_COUNTER || this == ABANDONED_IN_FLIGHT;
--- a/src/main/java/merlinrouter/loadbalancing/CandidateSampler.java
+++ b/src/main/java/merlinrouter/loadbalancing/CandidateSampler.java
@@ -34,7 +34,7 @@
     shuffled = trackers.toArray(EndpointTracker[]::new);
   }
 
-  /** Returns some endpoints by chance and those that answered last; a few are all there are. */
+  /** Returns some endpoints at random and those that answered last; all, if there are few. */
   List<EndpointTracker> sample() {
     int count =
         Math.max(MIN_CANDIDATES, CANDIDATES_PER_ENDPOINT_SHARE * shuffled.length / gatewayCount);
--- a/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
@@ -35,7 +35,7 @@
     for (Endpoint entry : entries) {
       apply(entry);
     }
-    // Ids are ever new, so removed endpoints are dropped once their last attempt has ended.
+    // Ids are not reused, so removed endpoints are dropped once their last attempt has ended.
     trackersById.values().removeIf(EndpointTracker::isDisposable);
     List<EndpointTracker> nowReady = new ArrayList<>();
     for (EndpointTracker tracker : trackersById.values()) {
--- a/src/main/java/merlinrouter/loadbalancing/EndpointScorer.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointScorer.java
@@ -11,6 +11,9 @@
   /** Factor on endpoints outside the gateway's zone. */
   private static final double OTHER_ZONE_FACTOR = 1.05;
 
+  /** An attempt that is overdue for some time is taken to need half of it at least. */
+  private static final double OVERDUE_WEIGHT = 1.0 / 2;
+
   /** Error rates above this do not raise the score any further. */
   private static final double MAX_ERROR_RATE = 0.97;
 
@@ -29,6 +32,7 @@
     latency *= loadReports.latencyFactor(tracker);
     double successRate = 1 - Math.min(MAX_ERROR_RATE, tracker.errorRate());
     double queueing = 1 + tracker.inFlightCount() / weight(tracker);
+    // Errors weigh more than their share: an attempt that fails costs a retry as well.
     double score = latency * queueing / (successRate * successRate);
     boolean sameZone = tracker.endpoint().zone() == settings.zone();
     return sameZone ? score : score * OTHER_ZONE_FACTOR;
@@ -41,7 +45,7 @@
       return Double.NEGATIVE_INFINITY;
     }
     double seconds = clock.secondsSince(oldest.attemptStartedAtNanos());
-    return seconds / oldest.expectedServiceSeconds() / 2;
+    return seconds / oldest.expectedServiceSeconds() * OVERDUE_WEIGHT;
   }
 
   private double weight(EndpointTracker tracker) {
--- a/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
@@ -10,15 +10,21 @@
 import merlinrouter.time.Nanos;
 
 /**
- * What a gateway knows of one run of an endpoint: its entry in the list, the attempts in flight on
- * it, and its latency, errors and load as observed.
+ * What a gateway knows of one incarnation of an endpoint: its entry in the list, the attempts in
+ * flight on it, and its latency, errors and load as observed.
  */
 public final class EndpointTracker {
   /** Weight of an attempt in the endpoint's mean latency. */
   static final double LATENCY_SAMPLE_WEIGHT = 0.12;
 
-  /** Weight of an attempt in the endpoint's error rate; errors weigh double. */
-  private static final double ERROR_SAMPLE_WEIGHT = 0.2;
+  /** Weight of a success in the endpoint's error rate. */
+  private static final double SUCCESS_SAMPLE_WEIGHT = 0.2;
+
+  /** Weight of an error: above that of a success, so that a faulty endpoint is noticed soon. */
+  private static final double ERROR_SAMPLE_WEIGHT = 2 * SUCCESS_SAMPLE_WEIGHT;
+
+  /** A failed connect says at once that the endpoint is unreachable. */
+  private static final double CONNECT_FAILURE_SAMPLE_WEIGHT = 1;
 
   /** Time constant with which observations decay toward the mean of the endpoint's group. */
   private static final double DECAY_SECONDS = 4;
@@ -74,7 +80,7 @@
     return endpoint;
   }
 
-  /** Takes over a changed entry of the same run of the endpoint. */
+  /** Takes over a changed entry of the same incarnation of the endpoint. */
   void update(Endpoint entry) {
     endpoint = entry;
     ready = entry.state() == EndpointState.READY;
@@ -90,7 +96,7 @@
     }
   }
 
-  /** Notes that another run of the endpoint has taken its place. */
+  /** Notes that another incarnation of the endpoint has taken its place. */
   void replace() {
     ready = false;
   }
@@ -157,12 +163,11 @@
     };
   }
 
-  /** A failed connect says at once that the endpoint is gone. */
   private static double errorWeight(Outcome outcome) {
     return switch (outcome) {
-      case OK -> ERROR_SAMPLE_WEIGHT;
-      case CONNECT_FAILED -> 1;
-      default -> 2 * ERROR_SAMPLE_WEIGHT;
+      case OK -> SUCCESS_SAMPLE_WEIGHT;
+      case CONNECT_FAILED -> CONNECT_FAILURE_SAMPLE_WEIGHT;
+      default -> ERROR_SAMPLE_WEIGHT;
     };
   }
 
@@ -203,7 +208,7 @@
   }
 
   /** Returns the nanoseconds since the last call, and starts counting anew. */
-  long nanosSinceSlowStartCheck() {
+  long takeNanosSinceSlowStartCheck() {
     long elapsedNanos = clock.nanosSince(slowStartCheckedAtNanos);
     slowStartCheckedAtNanos = clock.nowNanos();
     return elapsedNanos;
--- a/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
@@ -17,7 +17,7 @@
  * <p>Where a method takes the time of a request, it is the expected service time in seconds.
  */
 public final class LoadBalancer {
-  /** Scores are raised by chance by up to this part, so that gateways do not choose alike. */
+  /** Scores are raised at random by up to this fraction, so that gateways do not choose alike. */
   private static final double SCORE_NOISE = 0.1;
 
   private final GatewaySettings settings;
@@ -84,7 +84,7 @@
     double bestScore = Double.MAX_VALUE;
     for (EndpointTracker candidate : candidates) {
       double score = scorer.score(candidate) * (1 + SCORE_NOISE * random.nextDouble());
-      if (score < bestScore && hasRoomFor(request, candidate)) {
+      if (score < bestScore && mayGet(request, candidate)) {
         best = candidate;
         bestScore = score;
       }
@@ -92,9 +92,9 @@
     return best;
   }
 
-  private boolean hasRoomFor(BalancedRequest request, EndpointTracker candidate) {
+  private boolean mayGet(BalancedRequest request, EndpointTracker candidate) {
     return !slowStart.isWarmingUp(candidate)
-        || slowStart.permits(candidate, request.expectedServiceSeconds(), registry.ready());
+        || slowStart.trySelect(candidate, request.expectedServiceSeconds(), registry.ready());
   }
 
   /** Notes that an attempt starts on an endpoint. */
@@ -122,7 +122,7 @@
   }
 
   /**
-   * Chooses an endpoint to check, by chance, for a request that was queued: where responses come
+   * Chooses an endpoint to check, at random, for a request that was queued: where responses come
    * less than once a second from each endpoint, health checks make up for them. Null if no check is
    * needed or allowed.
    */
--- a/src/main/java/merlinrouter/loadbalancing/LoadReports.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadReports.java
@@ -1,13 +1,10 @@
 package merlinrouter.loadbalancing;
 
 import java.util.List;
-import java.util.Set;
+import merlinrouter.settings.SettingKeys;
 
 /** Loads that endpoints report in answer to health checks. */
 final class LoadReports {
-  /** The values of a report that say how busy an endpoint is. */
-  private static final Set<String> LOAD_VALUES = Set.of("waiting", "active", "cpu");
-
   /** Weight of a report in the mean load. */
   private static final double SAMPLE_WEIGHT = 0.05;
 
@@ -26,16 +23,21 @@
     return !valueNames.isEmpty();
   }
 
-  /** Takes in a report; an endpoint that reports nothing, or does not answer, is not idle. */
+  /** Takes in a report; an empty one stands for an endpoint that reports nothing or is silent. */
   void record(EndpointTracker tracker, List<Double> report) {
-    double load = report.isEmpty() ? 1 + 2 * meanLoad : 0;
+    double load = report.isEmpty() ? assumedLoad() : 0;
     for (int i = 0; i < Math.min(report.size(), valueNames.size()); i++) {
-      load += LOAD_VALUES.contains(valueNames.get(i)) ? report.get(i) : 0;
+      load += SettingKeys.LOAD_VALUES.contains(valueNames.get(i)) ? report.get(i) : 0;
     }
     meanLoad += SAMPLE_WEIGHT * (load - meanLoad);
     tracker.loadReported(load);
   }
 
+  /** An endpoint without a report is not idle: it is taken to be busier than most. */
+  private double assumedLoad() {
+    return 1 + 2 * meanLoad;
+  }
+
   /**
    * Factor on an endpoint's latency for its load: 1 for the mean load or without a recent report.
    */
--- a/src/main/java/merlinrouter/loadbalancing/SlowStart.java
+++ b/src/main/java/merlinrouter/loadbalancing/SlowStart.java
@@ -9,8 +9,9 @@
 
 /**
  * Limits the work that an endpoint gets while it is warming up. The limit has to hold for the sum
- * of all gateways, none of which knows what the others send: each one gives the endpoint its part
- * by chance, in proportion to what it sends to a warm endpoint, and saves up nothing for a burst.
+ * of all gateways, none of which knows what the others send: each one gives the endpoint its
+ * fraction at random, in proportion to what it sends to a warm endpoint, and saves up nothing for a
+ * burst.
  */
 final class SlowStart {
   private final ServiceRules rules;
@@ -39,7 +40,7 @@
         && clock.nanosSince(endpoint.startedAtNanos()) < rules.slowStartDurationNanos();
   }
 
-  /** The part of its capacity that an endpoint has now, from the initial fraction to 1. */
+  /** The fraction of its capacity that an endpoint has now, from the initial fraction to 1. */
   double capacityFraction(Endpoint endpoint) {
     long ageNanos = Math.max(0, clock.nanosSince(endpoint.startedAtNanos()));
     double relativeAge = ageNanos / (double) Math.max(1, rules.slowStartDurationNanos());
@@ -48,11 +49,12 @@
   }
 
   /**
-   * Decides by chance whether an endpoint that is warming up may get a request.
+   * Decides at random whether an endpoint that is warming up may get a request. Time that has been
+   * used for a decision is not used for the next.
    *
    * @param ready all endpoints that take requests
    */
-  boolean permits(EndpointTracker tracker, double expectedSeconds, List<EndpointTracker> ready) {
+  boolean trySelect(EndpointTracker tracker, double expectedSeconds, List<EndpointTracker> ready) {
     int warm = 0;
     for (EndpointTracker each : ready) {
       warm += isWarmingUp(each) ? 0 : 1;
@@ -64,7 +66,7 @@
     double dueSeconds =
         workPerSecond
             * capacityFraction(tracker.endpoint())
-            * tracker.nanosSinceSlowStartCheck()
+            * tracker.takeNanosSinceSlowStartCheck()
             * Nanos.IN_SECONDS;
     return random.nextDouble() * expectedSeconds < dueSeconds;
   }
--- a/src/main/java/merlinrouter/model/ClientRequest.java
+++ b/src/main/java/merlinrouter/model/ClientRequest.java
@@ -10,7 +10,7 @@
  * @param deadlineNanos the moment at which the client stops waiting
  * @param units what it takes from the quota; may be an estimate
  * @param gatewaySpread how many gateways this customer's requests come through
- * @param firstGateway number of the first of these gateways
+ * @param firstGateway number of the first of these gateways; not used
  * @param retry whether the client marked it as a retry of an earlier request
  */
 public record ClientRequest(
--- a/src/main/java/merlinrouter/model/EndpointUpdateType.java
+++ b/src/main/java/merlinrouter/model/EndpointUpdateType.java
@@ -8,6 +8,6 @@
   CACHED,
   /** Changed entries only. */
   DELTA,
-  /** Nothing: a call to discovery failed and the known list stands. */
+  /** Nothing: a subscription to the list failed, and the known list stands. */
   FAILED
 }
--- a/src/main/java/merlinrouter/retry/DeadlinePolicy.java
+++ b/src/main/java/merlinrouter/retry/DeadlinePolicy.java
@@ -9,9 +9,12 @@
  * The time limits of a request: when it is too late to be sent, and how long an attempt may take.
  */
 public final class DeadlinePolicy {
-  /** A first attempt needs up to this many times its expected service time. */
+  /** An attempt is given this many times its expected service time. */
   private static final double SERVICE_TIME_MARGIN = 1.5;
 
+  /** Two, since a request that expires right after a check is seen at the next but one at worst. */
+  private static final int TIMER_INTERVALS_NEEDED = 2;
+
   private static final long MIN_ATTEMPT_TIMEOUT_NANOS = Nanos.PER_MILLI;
 
   private final EventClock clock;
@@ -25,20 +28,17 @@
    */
   public DeadlinePolicy(GatewaySettings settings, EventClock clock, long timerIntervalNanos) {
     this.clock = clock;
-    minNeededNanos = 2 * timerIntervalNanos + settings.eventIntervalNanos();
+    minNeededNanos = TIMER_INTERVALS_NEEDED * timerIntervalNanos + settings.eventIntervalNanos();
   }
 
   /**
-   * Whether a request cannot be sent any more and be answered within its objective.
+   * Whether a request that has not been attempted cannot be served within its latency objective.
    *
    * @param objectiveAtNanos moment up to which a response earns the full value
-   * @param firstAttempt whether it has not been attempted yet
-   * @param expectedServiceSeconds expected service time of a first attempt
+   * @param expectedServiceSeconds expected service time of its attempt
    */
-  public boolean cannotMeetObjective(
-      long objectiveAtNanos, boolean firstAttempt, double expectedServiceSeconds) {
-    long serviceNanos =
-        firstAttempt ? (long) (SERVICE_TIME_MARGIN * expectedServiceSeconds * Nanos.PER_SECOND) : 0;
+  public boolean cannotMeetObjective(long objectiveAtNanos, double expectedServiceSeconds) {
+    long serviceNanos = (long) (SERVICE_TIME_MARGIN * expectedServiceSeconds * Nanos.PER_SECOND);
     return clock.nowNanos() + Math.max(serviceNanos, minNeededNanos) >= objectiveAtNanos;
   }
 
--- a/src/main/java/merlinrouter/retry/RetryBudget.java
+++ b/src/main/java/merlinrouter/retry/RetryBudget.java
@@ -1,7 +1,9 @@
 package merlinrouter.retry;
 
+import merlinrouter.model.Outcome;
+
 /**
- * Limits retries to a part of the first attempts, so that retries cannot multiply the load of a
+ * Limits retries to a fraction of the first attempts, so that retries cannot multiply the load of a
  * fleet in trouble. A retry of an attempt that was surely not executed is free.
  */
 public final class RetryBudget {
@@ -10,22 +12,22 @@
 
   private double tokens = MAX_SAVED_RETRIES;
 
-  /** Earns a part of a retry by a first attempt. */
+  /** Earns a fraction of a retry by a first attempt. */
   public void firstAttemptStarted() {
     tokens = Math.min(MAX_SAVED_RETRIES, tokens + RETRIES_PER_FIRST_ATTEMPT);
   }
 
-  /** Whether a retry can be paid for. */
-  boolean permits(boolean previousNotExecuted) {
-    return tokens >= cost(previousNotExecuted);
+  /** Whether a retry after an attempt with some outcome can be paid for. */
+  boolean permits(Outcome lastOutcome) {
+    return tokens >= cost(lastOutcome);
   }
 
-  /** Pays for a retry. */
-  public void retryStarted(boolean previousNotExecuted) {
-    tokens -= cost(previousNotExecuted);
+  /** Pays for a retry after an attempt with some outcome. */
+  public void retryStarted(Outcome lastOutcome) {
+    tokens -= cost(lastOutcome);
   }
 
-  private static double cost(boolean previousNotExecuted) {
-    return previousNotExecuted ? 0 : 1;
+  private static double cost(Outcome lastOutcome) {
+    return lastOutcome.provesNotExecuted() ? 0 : 1;
   }
 }
--- a/src/main/java/merlinrouter/retry/RetryPolicy.java
+++ b/src/main/java/merlinrouter/retry/RetryPolicy.java
@@ -14,42 +14,28 @@
   private final RequestLimits limits;
   private final RetryBudget budget;
   private final EventClock clock;
-  private final long latestArrivalNanos;
+  private final long maxDelayToEndpointNanos;
 
   /**
    * Creates a policy.
    *
-   * @param delayNanos time that may pass between an event and the attempt that it causes
+   * @param actionDelayNanos most time that a host takes between an event and the attempt it causes
    */
-  public RetryPolicy(RequestLimits limits, RetryBudget budget, EventClock clock, long delayNanos) {
+  public RetryPolicy(
+      RequestLimits limits, RetryBudget budget, EventClock clock, long actionDelayNanos) {
     this.limits = limits;
     this.budget = budget;
     this.clock = clock;
     // A retry reaches its endpoint when the connection is up, at the latest after this time.
-    latestArrivalNanos = limits.connectTimeoutNanos() + delayNanos;
+    maxDelayToEndpointNanos = limits.connectTimeoutNanos() + actionDelayNanos;
   }
 
-  /**
-   * Whether a request may be attempted again.
-   *
-   * @param requestClass its class
-   * @param history its attempts so far
-   * @param attempts how many attempts it has had
-   * @param objectiveAtNanos moment up to which a response earns the full value
-   * @param meanServiceSeconds mean service time of its class
-   * @param previousNotExecuted whether the attempt that just ended was surely not executed
-   */
-  public boolean mayRetry(
-      RequestClass requestClass,
-      ExecutionHistory history,
-      int attempts,
-      long objectiveAtNanos,
-      double meanServiceSeconds,
-      boolean previousNotExecuted) {
-    return attempts < limits.maxAttempts()
-        && isSafeToRepeat(requestClass, history)
-        && isInTime(objectiveAtNanos, meanServiceSeconds)
-        && budget.permits(previousNotExecuted);
+  /** Whether a request may be attempted again. */
+  public boolean mayRetry(RetryCandidate candidate) {
+    return candidate.attempts() < limits.maxAttempts()
+        && isSafeToRepeat(candidate.requestClass(), candidate.history())
+        && isInTime(candidate.objectiveAtNanos(), candidate.meanServiceSeconds())
+        && budget.permits(candidate.lastOutcome());
   }
 
   /** Whether one more execution does no harm: there was none, or it is idempotent. */
@@ -65,7 +51,8 @@
   }
 
   private boolean arrivesWithinWindow(RequestClass requestClass, ExecutionHistory history) {
-    long latestAgeNanos = clock.nowNanos() + latestArrivalNanos - history.firstExecutionNanos();
+    long latestAgeNanos =
+        clock.nowNanos() + maxDelayToEndpointNanos - history.firstExecutionNanos();
     return latestAgeNanos < requestClass.deduplicationWindowNanos();
   }
 
@@ -75,10 +62,10 @@
   }
 
   /**
-   * Whether the final response of a request that was not served may promise that a retry by the
-   * client is harmless.
+   * Whether a retry by the client of a request that was not served would be harmless: it was never
+   * executed, or may be executed again.
    */
-  public static boolean mayReject(RequestClass requestClass, ExecutionHistory history) {
+  public static boolean isClientRetryHarmless(RequestClass requestClass, ExecutionHistory history) {
     return !history.isPossiblyExecuted()
         || requestClass.idempotency() == Idempotency.IDEMPOTENT
         || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
--- a/src/main/java/merlinrouter/retry/package-info.java
+++ b/src/main/java/merlinrouter/retry/package-info.java
@@ -1,5 +1,5 @@
 /**
  * When a request may be attempted again, how long an attempt may take, when a request cannot meet
- * its deadline any more, and what its final response may promise.
+ * its latency objective any more, and what its final response may promise.
  */
 package merlinrouter.retry;
--- a/src/main/java/merlinrouter/settings/QuotaPlan.java
+++ b/src/main/java/merlinrouter/settings/QuotaPlan.java
@@ -11,7 +11,7 @@
  * @param overQuotaCost part of the value that forwarding a request beyond the quota costs
  * @param hardLimitUnitsPerSecond refill rate of the hard limit; 0 for no hard limit
  * @param hardLimitBurstUnits capacity of the hard limit's token bucket
- * @param hardLimitOverdraftUnits how far below zero that bucket may fall
+ * @param hardLimitOverdraftUnits how far below zero that bucket may fall; read, not used
  */
 public record QuotaPlan(
     double unitsPerSecond,
--- a/src/main/java/merlinrouter/settings/SettingKeys.java
+++ b/src/main/java/merlinrouter/settings/SettingKeys.java
@@ -1,5 +1,7 @@
 package merlinrouter.settings;
 
+import java.util.Set;
+
 /**
  * The settings' own key names and values, mapped to the terms of this program. The names belong to
  * the file format and do not change; {@code docs/glossary.md} lists them beside the terms.
@@ -101,6 +103,9 @@
   /** Value of {@link #IDEMPOTENCY}: must never be executed twice. */
   public static final String NON_IDEMPOTENT = "fragile";
 
+  /** Names of the values in a load report that say how busy an endpoint is. */
+  public static final Set<String> LOAD_VALUES = Set.of("waiting", "active", "cpu");
+
   /** Suffix of a list: how many items it has. */
   public static final String COUNT = ".count";
 
--- a/src/main/java/merlinrouter/stats/ClassStatistics.java
+++ b/src/main/java/merlinrouter/stats/ClassStatistics.java
@@ -16,7 +16,7 @@
   /** Weight of a new sample in the moving averages. */
   private static final double SAMPLE_WEIGHT = 0.02;
 
-  /** Before the first response, service is assumed to take this part of the latency objective. */
+  /** Before the first response, service is assumed to take this fraction of the objective. */
   private static final double INITIAL_SERVICE_PER_OBJECTIVE = 1.0 / 8;
 
   /** Bounds on a request's expected service time, relative to the mean of its class. */
@@ -40,7 +40,7 @@
   private final List<Double> serviceSamples = new ArrayList<>();
   private double meanServiceSeconds;
   private double meanUnits = 1;
-  private double meanValueFactor = 1;
+  private double meanPlanValue = 1;
   private int arrivals;
   private int successes;
   private double latencySumSeconds;
@@ -78,7 +78,7 @@
     successes++;
     meanServiceSeconds += SAMPLE_WEIGHT * (sample.serviceSeconds() - meanServiceSeconds);
     meanUnits += SAMPLE_WEIGHT * (sample.units() - meanUnits);
-    meanValueFactor += SAMPLE_WEIGHT * (sample.valueFactor() * sample.units() - meanValueFactor);
+    meanPlanValue += SAMPLE_WEIGHT * (sample.valueFactor() * sample.units() - meanPlanValue);
     latencySumSeconds += sample.latencySeconds();
     queueingSumSeconds += sample.queueingSeconds();
     serviceSamples.add(sample.serviceSeconds());
@@ -109,9 +109,9 @@
     return meanServiceSeconds;
   }
 
-  /** Moving average of the value factor, weighted with units. */
-  public double meanValueFactor() {
-    return meanValueFactor;
+  /** Moving average of the value factor of a request's plan times its units. */
+  public double meanPlanValue() {
+    return meanPlanValue;
   }
 
   /** Requests that arrived in the present interval. */
