--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls to a counter that is late, spoils its answers or moves. */
+/** Calls to a counter that is late, sends malformed responses or moves. */
 @Timeout(120)
 class CounterClientTest extends NodeFixture {
-  private static final long LIFE = 4_000_000_000L;
-  private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+  private static final long TIME_TO_LIVE_NANOS = 4_000_000_000L;
+  private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
   private EventLoop loop;
   private CounterClient client;
 
@@ -40,7 +40,7 @@
                 () ->
                     new CounterClient(
                         result ->
-                            told.add(
+                            results.add(
                                 result.counterKey()
                                     + " "
                                     + result.outcome()
@@ -58,46 +58,43 @@
             .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
   }
 
-  private void count(long name, double amount) {
-    loop.execute(() -> client.add(name, amount, LIFE));
+  private void add(long counterKey, double amount) {
+    loop.execute(() -> client.add(counterKey, amount, TIME_TO_LIVE_NANOS));
   }
 
-  private void assertTold(String end) throws InterruptedException {
-    assertEquals(end, told.poll(60, TimeUnit.SECONDS));
+  private void assertNextResult(String result) throws InterruptedException {
+    assertEquals(result, results.poll(60, TimeUnit.SECONDS));
   }
 
   /**
-   * A late answer belongs to the call that timed out; were it given to the next, totals would shift
-   * for good.
+   * A late response belongs to the call that timed out; assigned to the next call, it would shift
+   * all later totals.
    */
   @Test
-  void aLateTotalIsSkippedInLine() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void aLateResponseIsSkipped() throws Exception {
+    CompletableFuture<Void> respond = new CompletableFuture<>();
     counting =
         m -> {
           if (counter.seen.size() == 1) {
-            go.join();
+            respond.join();
             m.answer(ScriptedServer.ok("", "77"));
           } else {
             m.answer(ScriptedServer.ok("", "88"));
           }
         };
-    count(4, 1.5);
-    assertTold("4 TIMEOUT 0.0");
-    count(4, -2.25);
-    go.complete(null);
-    assertTold("4 OK 88.0");
+    add(4, 1.5);
+    assertNextResult("4 TIMEOUT 0.0");
+    add(4, -2.25);
+    respond.complete(null);
+    assertNextResult("4 OK 88.0");
     assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
     assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
   }
 
-  /**
-   * A line that went on after such an answer took what followed for the next call's, or waited for
-   * ever.
-   */
+  /** Otherwise what follows would pass for the next call's response, or would be waited for. */
   @Test
-  void afterAnAnswerThatCannotBeReadTheLineIsReplaced() throws Exception {
-    for (String spoilt :
+  void aMalformedResponseReplacesTheConnection() throws Exception {
+    for (String malformed :
         List.of(
             ScriptedServer.ok("", "1d"),
             ScriptedServer.ok("", "0x1p3"),
@@ -109,53 +106,53 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n1",
             "HTTP/1.1 200 OK\r\n\r\n1",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")) {
-      counting = m -> m.answer(spoilt);
-      count(4, 1);
-      assertTold("4 RESET 0.0");
+      counting = m -> m.answer(malformed);
+      add(4, 1);
+      assertNextResult("4 RESET 0.0");
       ScriptedServer.Message first = counter.next();
       counting = m -> m.answer(ScriptedServer.ok("", "5"));
-      count(4, 1);
-      assertTold("4 OK 5.0");
-      assertNotSame(first.socket(), counter.next().socket(), spoilt);
+      add(4, 1);
+      assertNextResult("4 OK 5.0");
+      assertNotSame(first.socket(), counter.next().socket(), malformed);
     }
   }
 
-  /** Answered on the new line before the old one, the calls would be told in the wrong order. */
+  /** A response on the new connection ahead of the previous one's would break the order. */
   @Test
-  void aMoveKeepsTheOrderOfANamesCalls() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void aMoveKeepsTheOrderOfACountersCalls() throws Exception {
+    CompletableFuture<Void> respond = new CompletableFuture<>();
     counting =
         m -> {
-          go.join();
+          respond.join();
           m.answer(ScriptedServer.ok("", "1"));
         };
-    ScriptedServer elsewhere = peer(m -> m.answer(ScriptedServer.ok("", "2")));
-    count(4, 1);
+    ScriptedServer newCounter = peer(m -> m.answer(ScriptedServer.ok("", "2")));
+    add(4, 1);
     counter.next();
-    NodeConfig moved = counting(elsewhere);
+    NodeConfig moved = counting(newCounter);
     loop.submit(() -> client.move(moved.counter())).get();
-    count(4, 1);
-    count(8, 1);
-    go.complete(null);
-    assertTold("4 OK 1.0");
-    assertTold("4 OK 2.0");
-    assertTold("8 OK 2.0");
-    assertNotNull(counter.ended.poll(60, TimeUnit.SECONDS), "the old line is of no more use");
+    add(4, 1);
+    add(8, 1);
+    respond.complete(null);
+    assertNextResult("4 OK 1.0");
+    assertNextResult("4 OK 2.0");
+    assertNextResult("8 OK 2.0");
+    assertNotNull(
+        counter.ended.poll(60, TimeUnit.SECONDS), "the previous connection must be closed");
     assertTrue(counter.seen.isEmpty(), "calls after the move must go to the new address");
   }
 
-  /**
-   * Too many calls without an answer end in their order: a newcomer's end must not be told first.
-   */
+  /** Too many calls without a response end in their order, ahead of the call that is added. */
   @Test
-  void aLineThatIsFullEndsItsCallsInOrder() throws Exception {
+  void atTheMaximumOfOpenCallsTheyEndInOrder() throws Exception {
     counting = m -> {};
     for (int i = 0; i < 300; i++) {
-      count(4L * i, 1);
+      add(4L * i, 1);
     }
     for (int i = 0; i < 300; i++) {
-      String end = told.poll(60, TimeUnit.SECONDS);
-      assertTrue(end != null && end.startsWith(4L * i + " "), "call " + i + " was told as " + end);
+      String result = results.poll(60, TimeUnit.SECONDS);
+      assertTrue(
+          result != null && result.startsWith(4L * i + " "), "call " + i + " ended as " + result);
     }
   }
 }
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Watches that end, fall silent, stay mute or are cut. Where a span matters it is held against
- * another timer of the node's own loop: these run in the order of their times, however slow the
- * machine is.
+ * Watches that end, fall silent, are not answered or are cut short. Where a duration matters it is
+ * compared with another timer of the node's own event loop: these fire in the order of their
+ * deadlines, however slow the machine is.
  */
 @Timeout(120)
 class DiscoveryWatchTest extends NodeFixture {
@@ -24,14 +24,11 @@
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  private static String change(int revision, String member) {
-    return "{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + member + "]}";
+  private static String delta(int revision, String entries) {
+    return "{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + entries + "]}";
   }
 
-  /**
-   * Has the node served by a server that only the watch can have named: what stood before it was
-   * read.
-   */
+  /** Waits until a request is served, by an endpoint that only the watch can have listed. */
   private void awaitServed(EdgeNode node) throws Exception {
     Socket client = client(node);
     String status = "";
@@ -40,9 +37,9 @@
     }
   }
 
-  /** A silence of 7 s once outlasted the 6 s after which what it misses counts as told. */
+  /** What a silent watch misses counts as delivered 6 s after it fell silent. */
   @Test
-  void aSilentWatchIsGivenUpBeforeWhatItMissesCountsAsTold() throws Exception {
+  void aSilentWatchIsReplacedBeforeMissedUpdatesCountAsDelivered() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     AtomicInteger watches = new AtomicInteger();
     discovery =
@@ -50,108 +47,106 @@
             m -> {
               if (watches.getAndIncrement() == 0) {
                 m.answer(
-                    HEAD + chunk(change(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
+                    HEAD + chunk(delta(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
               }
             });
     EdgeNode node = start(config());
     awaitServed(node);
-    int before = node.loop().submit(() -> node.discovery().openedWatches()).get();
+    int openedBefore = node.loop().submit(() -> node.discovery().openedWatches()).get();
     assertTrue(
         node.loop()
             .schedule(
                 () ->
-                    node.discovery().openedWatches() > before
+                    node.discovery().openedWatches() > openedBefore
                         || node.discovery().openWatches() == 0,
                 6,
                 TimeUnit.SECONDS)
             .get(),
-        "the silent watch still stands when 6 s are over");
+        "the silent watch is still open after 6 s");
   }
 
-  /** Else a list that comes at discovery's return waits for the mute watch's time-out. */
+  /**
+   * Otherwise a list that comes when discovery is back waits for the unanswered watch's timeout.
+   */
   @Test
-  void aMuteWatchHasAnotherOpenedBesideIt() throws Exception {
+  void anotherWatchIsOpenedBesideAnUnansweredOne() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     AtomicInteger watches = new AtomicInteger();
-    CompletableFuture<Void> back = new CompletableFuture<>();
+    CompletableFuture<Void> discoveryBack = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
               if (watches.getAndIncrement() > 0) {
-                back.join();
+                discoveryBack.join();
                 m.answer(
-                    HEAD + chunk(change(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
+                    HEAD + chunk(delta(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
               }
             });
     EdgeNode node = start(config());
     discovery.next();
     discovery.next();
-    assertTrue(discovery.ended.isEmpty(), "the mute one may be answered yet");
-    back.complete(null);
+    assertTrue(discovery.ended.isEmpty(), "the unanswered one may be answered yet");
+    discoveryBack.complete(null);
     awaitServed(node);
     discovery.ended.take();
     assertEquals(
         1,
         node.loop().submit(() -> node.discovery().openWatches()).get(),
-        "one that speaks is enough");
+        "only the answered watch stays open");
   }
 
-  /**
-   * The agent answers at once and free; a pause of up to 2 s once outlasted the second that a drain
-   * allows.
-   */
+  /** The backoff must stay below the second that draining allows: the agent answers at once. */
   @Test
-  void afterManyEndsAWatchIsStillOpenedAgainWithinADrainsSecond() throws Exception {
+  void afterManyFailuresAWatchIsReopenedWithinTheDrainingSecond() throws Exception {
     discovery = peer(m -> m.socket().close());
     EdgeNode node = start(config());
     for (int i = 0; i < 5; i++) {
       discovery.next();
     }
-    int[] before = new int[1];
-    CompletableFuture<Void> ended = new CompletableFuture<>();
+    int[] openedBefore = new int[1];
+    CompletableFuture<Void> noneOpen = new CompletableFuture<>();
     node.loop()
         .execute(
             new Runnable() {
               @Override
               public void run() {
-                before[0] = node.discovery().openedWatches();
+                openedBefore[0] = node.discovery().openedWatches();
                 if (node.discovery().openWatches() == 0) {
-                  ended.complete(null);
+                  noneOpen.complete(null);
                 } else {
                   node.loop().schedule(this, 1, TimeUnit.MILLISECONDS);
                 }
               }
             });
-    ended.get();
+    noneOpen.get();
     assertTrue(
         node.loop()
-            .schedule(() -> node.discovery().openedWatches() > before[0], 1, TimeUnit.SECONDS)
+            .schedule(() -> node.discovery().openedWatches() > openedBefore[0], 1, TimeUnit.SECONDS)
             .get(),
         "no watch was opened for a second");
   }
 
   /**
-   * Where lists must be asked for too, a change is told 6 s after discovery had it: here a watch
-   * falls silent after some that ended, and the next one is never answered. Pauses of 2 s each once
-   * made it 7 s.
+   * Where the list must be subscribed to, too, an update counts as delivered 6 s after discovery
+   * had it: here a watch falls silent after some that ended, and the next one is never answered.
    */
   @Test
-  void aListThatMustBeAskedForIsToldWithin6SecondsThoughCallsFailAndFallSilent() throws Exception {
+  void aSubscribedListIsPolledWithin6SecondsThoughWatchesFailAndFallSilent() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     AtomicInteger watches = new AtomicInteger();
     CompletableFuture<Void> silent = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
-              int n = watches.getAndIncrement();
-              if (n < 6) {
+              int watch = watches.getAndIncrement();
+              if (watch < 6) {
                 m.socket().close();
-              } else if (n == 6) {
+              } else if (watch == 6) {
                 m.answer(HEAD + chunk("\n"));
                 silent.complete(null);
-              } else if (n > 7) {
+              } else if (watch > 7) {
                 m.answer(
-                    HEAD + chunk(change(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
+                    HEAD + chunk(delta(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
               }
             });
     EdgeNode node =
@@ -159,7 +154,7 @@
     silent.get();
     assertTrue(
         node.loop().schedule(() -> node.discovery().openedWatches() > 8, 6, TimeUnit.SECONDS).get(),
-        "6 s after it fell silent it had not been asked for anew twice");
+        "6 s after the silence began the list had not been polled twice");
     awaitServed(node);
   }
 
@@ -167,7 +162,7 @@
   void aListMayBeIndented() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
     String list =
-        change(6, member("s-1", server.address(), "Ready", 0))
+        delta(6, member("s-1", server.address(), "Ready", 0))
                 .replace(",", ",\n  ")
                 .replace("{", "{\n  ")
             + "\n";
@@ -175,18 +170,26 @@
         peer(m -> m.answer(HEAD + chunk(list.substring(0, 20)) + chunk(list.substring(20))));
     EdgeNode node = start(config());
     awaitServed(node);
-    assertEquals(1, discovery.seen.size(), "the watch was spoilt by it");
+    assertEquals(1, discovery.seen.size(), "the watch was closed because of it");
   }
 
   /**
-   * The lines behind a cut list would be taken for its rest, or for a sign that the watch is well.
+   * The lines behind an incomplete list would pass for its rest, or for a sign that the watch is
+   * alive.
    */
   @Test
-  void aListCutShortIsAskedForAnewAndTheLastOneStays() throws Exception {
+  void anIncompleteOrMalformedListIsPolledAgainAndThePreviousOneStays() throws Exception {
     ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    String cut = "{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"s-";
+    String incomplete = "{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"s-";
     for (String sent :
-        new String[] {cut, cut + "\n\n\n", cut + "\"\n", "]" + cut, "{}{\n", "no list\n"}) {
+        new String[] {
+          incomplete,
+          incomplete + "\n\n\n",
+          incomplete + "\"\n",
+          "]" + incomplete,
+          "{}{\n",
+          "no list\n"
+        }) {
       discovery = peer(m -> m.answer(HEAD + chunk(sent)));
       EdgeNode node = node(server);
       discovery.next();
@@ -195,11 +198,9 @@
     }
   }
 
-  /**
-   * Lines go on coming, so that the watch is not silent, and all of them are the cut list's rest.
-   */
+  /** The watch is not silent, since lines keep coming, all of which pass for the list's rest. */
   @Test
-  void aCutListBehindWhichLinesGoOnComingIsAskedForAnew() throws Exception {
+  void anIncompleteListFollowedByMoreLinesIsPolledAgain() throws Exception {
     discovery =
         peer(
             m -> {
@@ -214,57 +215,55 @@
     assertTrue(discovery.next().first().contains("after=5"));
   }
 
-  /**
-   * What the old watch says after a move is read by nobody: it may be older than what the new one
-   * told.
-   */
+  /** After a move the previous watch is not read: its lists may be older than the new one's. */
   @Test
-  void aListThatComesWithTheMoveIsTheNewWatchsToTell() throws Exception {
-    ScriptedServer before = peer(m -> m.answer(ScriptedServer.ok("", "before")));
-    ScriptedServer after = peer(m -> m.answer(ScriptedServer.ok("", "after")));
-    CompletableFuture<ScriptedServer.Message> open = new CompletableFuture<>();
+  void afterAMoveOnlyTheNewWatchIsRead() throws Exception {
+    ScriptedServer removed = peer(m -> m.answer(ScriptedServer.ok("", "removed")));
+    ScriptedServer added = peer(m -> m.answer(ScriptedServer.ok("", "added")));
+    CompletableFuture<ScriptedServer.Message> opened = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
               m.answer(HEAD + chunk("\n"));
-              open.complete(m);
+              opened.complete(m);
             });
-    String config = config(member("s-0", before.address(), "Ready", 0));
+    String config = config(member("s-0", removed.address(), "Ready", 0));
     EdgeNode node = start(config);
-    ScriptedServer elsewhere =
+    ScriptedServer newDiscovery =
         peer(
             m ->
                 m.answer(
                     HEAD
                         + chunk(
-                            change(
+                            delta(
                                     9,
-                                    member("s-0", before.address(), "Gone", 0)
+                                    member("s-0", removed.address(), "Gone", 0)
                                         + ","
-                                        + member("s-1", after.address(), "Ready", 0))
+                                        + member("s-1", added.address(), "Ready", 0))
                                 + "\n")));
-    ScriptedServer.Message watch = open.get();
+    ScriptedServer.Message watch = opened.get();
     node.loop()
         .submit(
             () -> {
               node.reload(
-                  NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
-              // Written while the loop is held: the node finds it when the move is done.
-              watch.answer(chunk(change(8, member("s-2", before.address(), "Ready", 0)) + "\n"));
+                  NodeConfigReader.parse(
+                      config.replace(discovery.address(), newDiscovery.address())));
+              // Written while the event loop is busy: the node reads it after the move.
+              watch.answer(chunk(delta(8, member("s-2", removed.address(), "Ready", 0)) + "\n"));
               return null;
             })
         .get();
-    elsewhere.next();
+    newDiscovery.next();
     discovery.ended.take();
     Socket client = client(node);
-    String served = "";
-    for (int i = 0; !served.equals("after"); i++) {
+    String body = "";
+    for (int i = 0; !body.equals("added"); i++) {
       order(client, "m-" + i);
-      served = ScriptedServer.read(client).body();
+      body = ScriptedServer.read(client).body();
     }
     for (int i = 0; i < 8; i++) {
       order(client, "n-" + i);
-      assertEquals("after", ScriptedServer.read(client).body());
+      assertEquals("added", ScriptedServer.read(client).body());
     }
   }
 }
--- a/src/test/java/merlinrouter/node/MalformedResponseTest.java
+++ b/src/test/java/merlinrouter/node/MalformedResponseTest.java
@@ -12,16 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** App servers whose answers are spoilt, or bring more than belongs to them. */
+/** Endpoints whose responses are malformed, or are followed by bytes of no response. */
 @Timeout(120)
 class MalformedResponseTest extends NodeFixture {
-  /**
-   * What stood behind an answer was once taken for the next request's answer, because the pool had
-   * it by then.
-   */
+  /** The connection must not return to the pool: the bytes would pass for the next response. */
   @Test
-  void whatStandsBehindAnAnswerIsNobodysAnswer() throws Exception {
-    for (String behind :
+  void bytesBehindAResponseAreNeverTakenForTheNextOne() throws Exception {
+    for (String trailing :
         List.of(
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
             "HTTP/1.1 200 O",
@@ -29,39 +26,41 @@
             "noise",
             "HTTP/1.1 100 Continue\r\n\r\n")) {
       ScriptedServer server =
-          peer(m -> m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")) + behind));
+          peer(m -> m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")) + trailing));
       Socket client = client(node(server));
       for (String id : List.of("t-1", "t-2", "t-3")) {
         order(client, id);
-        ScriptedServer.Message answer = ScriptedServer.read(client);
-        assertEquals("200", status(answer), behind);
-        assertEquals(id, answer.body(), behind);
+        ScriptedServer.Message response = ScriptedServer.read(client);
+        assertEquals("200", status(response), trailing);
+        assertEquals(id, response.body(), trailing);
         assertNotNull(
-            server.ended.poll(60, TimeUnit.SECONDS), "a connection that is not clean must go");
+            server.ended.poll(60, TimeUnit.SECONDS),
+            "a connection with trailing bytes must be closed");
       }
     }
   }
 
   @Test
   void bytesOnAnIdleConnectionCloseIt() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> responded = new CompletableFuture<>();
     ScriptedServer server =
         peer(
             m -> {
               m.answer(ScriptedServer.ok("", "x"));
-              go.join();
+              responded.join();
               m.answer("H");
             });
     assertEquals("200", ask(client(node(server)), "t-1"));
-    go.complete(null);
+    responded.complete(null);
     assertNotNull(
-        server.ended.poll(60, TimeUnit.SECONDS), "bytes that belong to no request were kept");
+        server.ended.poll(60, TimeUnit.SECONDS),
+        "a connection with bytes that belong to no request was kept");
   }
 
-  /** The connection stays open: to wait for more would take all of the request's time. */
+  /** The connection stays open: waiting for more would take all of the request's time. */
   @Test
-  void aSpoiltAnswerIsAFailedAttemptAtOnce() throws Exception {
-    for (String spoilt :
+  void aMalformedResponseEndsTheAttemptAtOnce() throws Exception {
+    for (String malformed :
         List.of(
             "noise",
             "\u0001\u0002",
@@ -81,25 +80,27 @@
             "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
       ScriptedServer[] server = new ScriptedServer[1];
       server[0] =
-          peer(m -> m.answer(server[0].seen.size() == 1 ? spoilt : ScriptedServer.ok("", "good")));
+          peer(
+              m ->
+                  m.answer(server[0].seen.size() == 1 ? malformed : ScriptedServer.ok("", "good")));
       Socket client = client(node(server[0]));
       client.setSoTimeout(9_000);
       order(client, "t-1");
-      ScriptedServer.Message answer = ScriptedServer.read(client);
-      assertEquals("200", status(answer), spoilt);
-      assertEquals("good", answer.body(), spoilt);
-      // It may have run: a request that must not run twice is not sent again.
-      ScriptedServer strict = peer(m -> m.answer(spoilt));
-      Socket other = client(node(strict));
-      write(other, "POST /api", headers("t-2", "strict", "20000"), "book");
-      assertEquals("502", status(ScriptedServer.read(other)), spoilt);
-      strict.next();
-      assertTrue(strict.seen.isEmpty(), "it must have been sent once: " + spoilt);
+      ScriptedServer.Message response = ScriptedServer.read(client);
+      assertEquals("200", status(response), malformed);
+      assertEquals("good", response.body(), malformed);
+      // It may have been executed: a request that is not idempotent is not retried.
+      ScriptedServer nonIdempotent = peer(m -> m.answer(malformed));
+      Socket otherClient = client(node(nonIdempotent));
+      write(otherClient, "POST /api", headers("t-2", "strict", "20000"), "book");
+      assertEquals("502", status(ScriptedServer.read(otherClient)), malformed);
+      nonIdempotent.next();
+      assertTrue(nonIdempotent.seen.isEmpty(), "it must be sent once: " + malformed);
     }
   }
 
   @Test
-  void whatComesAheadOfAnAnswerIsPassedOver() throws Exception {
+  void informationalResponsesAheadOfAFinalOneAreSkipped() throws Exception {
     ScriptedServer server =
         peer(
             m ->
@@ -116,10 +117,10 @@
   }
 
   @Test
-  void onlyPlainFiguresWithinBoundsCount() {
+  void onlyPlainDecimalNumbersWithinBoundsAreAccepted() {
     assertEquals(3, StrictDecimal.amount("3", 8));
     assertEquals(2.5, StrictDecimal.amount("2.5", 8));
-    for (String bad :
+    for (String invalid :
         List.of(
             "",
             "0",
@@ -134,12 +135,12 @@
             "1.2.3",
             " 1",
             "\u0661")) {
-      assertTrue(Double.isNaN(StrictDecimal.amount(bad, 8)), bad);
+      assertTrue(Double.isNaN(StrictDecimal.amount(invalid, 8)), invalid);
     }
     assertTrue(Double.isNaN(StrictDecimal.amount(null, 8)));
     assertEquals(-1.5e7, StrictDecimal.number("-1.5e7"));
-    for (String bad : List.of("1d", "0x1p1", "NaN", "1e999", "e", "")) {
-      assertTrue(Double.isNaN(StrictDecimal.number(bad)), bad);
+    for (String invalid : List.of("1d", "0x1p1", "NaN", "1e999", "e", "")) {
+      assertTrue(Double.isNaN(StrictDecimal.number(invalid)), invalid);
     }
   }
 }
--- a/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
+++ b/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
@@ -5,43 +5,45 @@
 import merlinrouter.node.logging.NodeLog;
 import org.junit.jupiter.api.Test;
 
-/** Starts on the monotonic clock; all figures are seconds times {@link #S}. */
+/** Start times on the monotonic clock; all helper arguments and results are in seconds. */
 class EndpointStartTimesTest {
-  private static final long S = 1_000_000_000L;
-  private static final long SLOW_START = 10 * S;
+  private static final long SECOND_NANOS = 1_000_000_000L;
+  private static final long SLOW_START_NANOS = 10 * SECOND_NANOS;
 
-  private final EndpointStartTimes times = new EndpointStartTimes(SLOW_START, NodeLog.silent());
+  private final EndpointStartTimes times =
+      new EndpointStartTimes(SLOW_START_NANOS, NodeLog.silent());
 
-  private long told(long monotonic, long wall, long startedAtWall) {
-    times.observeClocks(monotonic * S, wall * S);
-    return times.toMonotonicNanos("s", startedAtWall * S, monotonic * S) / S;
+  private long convert(long monotonic, long wall, long wallStart) {
+    times.observeClocks(monotonic * SECOND_NANOS, wall * SECOND_NANOS);
+    return times.toMonotonicNanos("s", wallStart * SECOND_NANOS, monotonic * SECOND_NANOS)
+        / SECOND_NANOS;
   }
 
   @Test
-  void aStartKeepsItsMomentWhateverTheWallClockDoes() {
-    assertEquals(95, told(100, 5_000, 4_995));
-    assertEquals(95, told(101, 1_401, 4_995));
-    assertEquals(95, told(200, 1_500, 4_995));
+  void aConvertedStartTimeIgnoresStepsOfTheWallClock() {
+    assertEquals(95, convert(100, 5_000, 4_995));
+    assertEquals(95, convert(101, 1_401, 4_995));
+    assertEquals(95, convert(200, 1_500, 4_995));
   }
 
   @Test
-  void aStartThatAStepAgedCountsByItsYoungerAge() {
-    times.observeClocks(100 * S, 5_000 * S);
-    assertEquals(103, told(104, 8_604, 5_003));
+  void aStartBeforeAStepForwardCountsByItsYoungerAge() {
+    times.observeClocks(100 * SECOND_NANOS, 5_000 * SECOND_NANOS);
+    assertEquals(103, convert(104, 8_604, 5_003));
   }
 
   @Test
-  void aStartInTheFutureBehindAStepBackIsNow() {
-    times.observeClocks(100 * S, 5_000 * S);
-    assertEquals(104, told(104, 1_404, 5_003));
+  void aStartInTheFutureAfterAStepBackIsNow() {
+    times.observeClocks(100 * SECOND_NANOS, 5_000 * SECOND_NANOS);
+    assertEquals(104, convert(104, 1_404, 5_003));
   }
 
   @Test
-  void aStepIsForgottenOnceASlowStartIsOver() {
-    times.observeClocks(10_000 * S, 5_000 * S);
-    times.observeClocks(10_001 * S, 8_601 * S);
-    assertEquals(10_018, told(10_020, 8_620, 8_618));
+  void aStepIsForgottenAfterTheDurationOfASlowStart() {
+    times.observeClocks(10_000 * SECOND_NANOS, 5_000 * SECOND_NANOS);
+    times.observeClocks(10_001 * SECOND_NANOS, 8_601 * SECOND_NANOS);
+    assertEquals(10_018, convert(10_020, 8_620, 8_618));
     times.forget("s");
-    assertEquals(6_501, told(10_121, 8_721, 5_101));
+    assertEquals(6_501, convert(10_121, 8_721, 5_101));
   }
 }
