--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -7,11 +7,14 @@
 
 /**
  * Limits the rate of calls to the shared counter, which all gateways load together. The rate adapts
- * to how long calls take. Calls with more at stake go first: the emptier the token bucket, the
- * higher the stake that a call must have, relative to the mean.
+ * to how long calls take. Calls of a higher priority go first: the emptier the token bucket, the
+ * higher the priority that a call must have, relative to the mean.
  */
 final class CounterCallRateLimiter {
-  /** Initial calls per second of all gateways together; a fifth of what a counter must bear. */
+  /**
+   * Initial calls per second of all gateways together; a fifth of the least that a counter was
+   * found to bear.
+   */
   private static final double INITIAL_FLEET_CALLS_PER_SECOND = 200;
 
   /** A gateway begins with at least this many calls per second, whatever the fleet's size. */
@@ -43,8 +46,13 @@
   /** Tokens that may be saved: the calls of this time. */
   private static final long BURST_NANOS = QuotaAccount.REPORT_INTERVAL_NANOS;
 
-  private static final double STAKE_WEIGHT = 0.02;
-  private static final double MIN_MEAN_STAKE = 1e-9;
+  private static final double MIN_CAPACITY_CALLS = 2 * MIN_INITIAL_CALLS_PER_SECOND;
+
+  /** The priority, relative to the mean, that a call needs when the bucket is empty. */
+  private static final double MAX_REQUIRED_PRIORITY = 2;
+
+  private static final double PRIORITY_SAMPLE_WEIGHT = 0.02;
+  private static final double MIN_MEAN_PRIORITY = 1e-9;
 
   private final EventClock clock;
   private final CounterHealth health;
@@ -54,7 +62,7 @@
   private long refilledAtNanos;
   private long adjustedAtNanos;
   private boolean deniedSinceAdjustment;
-  private double meanStake;
+  private double meanPriority;
 
   CounterCallRateLimiter(
       int gatewayCount, CounterHealth health, EventClock clock, SplittableRandom random) {
@@ -68,26 +76,25 @@
     refilledAtNanos = clock.nowNanos();
   }
 
-  /** Returns a stake relative to the mean of all stakes so far, and adds it to that. */
-  double relativeStake(double stake) {
-    meanStake += STAKE_WEIGHT * (stake - meanStake);
-    return stake / Math.max(MIN_MEAN_STAKE, meanStake);
+  /** Returns a priority relative to the mean of all so far, to which it is added first. */
+  double normalizePriority(double priority) {
+    meanPriority += PRIORITY_SAMPLE_WEIGHT * (priority - meanPriority);
+    return priority / Math.max(MIN_MEAN_PRIORITY, meanPriority);
   }
 
-  /** Takes a token for a call with a relative stake; false if the call must not be made. */
-  boolean tryAcquire(double relativeStake) {
+  /** Takes a token for a call with a relative priority; false if it must not be made. */
+  boolean tryAcquire(double relativePriority) {
     double rate = health.isSilent() ? SILENT_CALLS_PER_SECOND : callsPerSecond;
-    double capacity =
-        Math.max(2 * MIN_INITIAL_CALLS_PER_SECOND, rate * BURST_NANOS * Nanos.IN_SECONDS);
+    double capacity = Math.max(MIN_CAPACITY_CALLS, rate * BURST_NANOS * Nanos.IN_SECONDS);
     double refill = rate * clock.nanosSince(refilledAtNanos) * Nanos.IN_SECONDS;
     tokens = Math.min(capacity, tokens + refill);
     refilledAtNanos = clock.nowNanos();
-    double requiredStake = 2 * (1 - tokens / capacity);
-    if (tokens >= 1 && relativeStake >= requiredStake) {
+    double requiredPriority = MAX_REQUIRED_PRIORITY * (1 - tokens / capacity);
+    if (tokens >= 1 && relativePriority >= requiredPriority) {
       tokens--;
       return true;
     }
-    deniedSinceAdjustment |= relativeStake >= 1;
+    deniedSinceAdjustment |= relativePriority >= 1;
     return false;
   }
 
--- a/src/main/java/merlinrouter/quota/CounterCalls.java
+++ b/src/main/java/merlinrouter/quota/CounterCalls.java
@@ -11,6 +11,9 @@
 
 /** The calls to the shared counter that are under way, and whether more may be made. */
 final class CounterCalls {
+  /** A call is overdue after this many timeouts. */
+  private static final int OVERDUE_TIMEOUTS = 2;
+
   private final Map<Long, ArrayDeque<CounterCall>> callsByKey = new LinkedHashMap<>();
   private final SharedCounter counter;
   private final Consumer<String> log;
@@ -37,14 +40,14 @@
     return health.isSilent();
   }
 
-  /** Returns a stake relative to the mean of all stakes so far, and adds it to that. */
-  double relativeStake(double stake) {
-    return rateLimiter.relativeStake(stake);
+  /** Returns a priority relative to the mean of all so far, to which it is added first. */
+  double normalizePriority(double priority) {
+    return rateLimiter.normalizePriority(priority);
   }
 
-  /** Whether a call with a relative stake may be made now; if so, it has to be made. */
-  boolean tryAcquire(double relativeStake) {
-    return rateLimiter.tryAcquire(relativeStake);
+  /** Whether a call with a relative priority may be made now; if so, it has to be made. */
+  boolean tryAcquire(double relativePriority) {
+    return rateLimiter.tryAcquire(relativePriority);
   }
 
   /** Makes a call; calls with one key end in their order. */
@@ -73,9 +76,9 @@
     return call;
   }
 
-  /** Passes on each call that has been under way for twice its timeout. */
+  /** Passes on each call that a host should have ended a timeout ago. */
   void forEachOverdue(Consumer<CounterCall> action) {
-    long dueNanos = clock.nowNanos() - 2 * timeoutNanos;
+    long dueNanos = clock.nowNanos() - OVERDUE_TIMEOUTS * timeoutNanos;
     for (ArrayDeque<CounterCall> calls : callsByKey.values()) {
       for (CounterCall call : calls) {
         if (call.startedAtNanos() < dueNanos) {
--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -13,6 +13,9 @@
  * total covers recent use only.
  */
 final class FleetQuotaEstimate {
+  /** As many totals in a window keep the estimate recent. */
+  private static final int TOTALS_PER_WINDOW = 4;
+
   /** Bounds on a window: the time in which a full burst refills, within these. */
   private static final long MIN_WINDOW_SECONDS = 1;
 
@@ -44,17 +47,21 @@
   private double othersWindowUnits;
   private double availableUnits;
   private double othersUnitsPerSecond;
-  private double projectedOthersUnits;
+  private double othersUnitsSinceTotal;
   private long totalAtNanos;
-  private boolean stale;
+  private boolean divided;
 
   /**
    * Creates an estimate of a full quota.
    *
-   * @param spreadKey a number by which customers' windows begin at different moments
+   * @param windowPhaseSeed a number by which customers' windows begin at different moments
    */
   FleetQuotaEstimate(
-      QuotaPlan plan, int gateways, double maxRequestUnits, long spreadKey, EventClock clock) {
+      QuotaPlan plan,
+      int gateways,
+      double maxRequestUnits,
+      long windowPhaseSeed,
+      EventClock clock) {
     this.plan = plan;
     this.gateways = gateways;
     this.maxRequestUnits = maxRequestUnits;
@@ -68,22 +75,24 @@
         (long)
             (Math.min(MAX_WINDOW_SECONDS, Math.max(MIN_WINDOW_SECONDS, refillSeconds))
                 * Nanos.PER_SECOND);
-    windowPhaseNanos = Math.floorMod(spreadKey, windowNanos);
+    windowPhaseNanos = Math.floorMod(windowPhaseSeed, windowNanos);
     totalAtNanos = clock.nowNanos() - 2 * windowNanos;
   }
 
   /** Lets time pass: the quota refills, and the others are projected to go on as before. */
   void refill(double seconds) {
     double others = seconds * projectedOthersRate();
-    projectedOthersUnits += others;
+    othersUnitsSinceTotal += others;
     availableUnits =
         Math.min(plan.burstUnits(), availableUnits + seconds * plan.unitsPerSecond() - others);
   }
 
-  /** Without recent totals the others are taken to use their equal parts of the rate. */
+  /** In a divided quota the others are taken to use their equal parts of the rate. */
   private double projectedOthersRate() {
-    double max = plan.unitsPerSecond() * (stale ? 1 - 1.0 / gateways : 1);
-    return Math.min(max, stale ? plan.unitsPerSecond() : othersUnitsPerSecond);
+    if (divided) {
+      return plan.unitsPerSecond() * (1 - 1.0 / gateways);
+    }
+    return Math.min(plan.unitsPerSecond(), othersUnitsPerSecond);
   }
 
   /** Takes units of own use; negative units are given back. */
@@ -118,7 +127,8 @@
    * @param reportedNow the units that were reported with the call that returned the total
    * @param total the counter's total, in units
    * @param unreportedUnits own use that has not been reported
-   * @param reportedFraction the reported part of the use; the others' is taken to be as ours
+   * @param reportedFraction the reported part of the use; the other gateways are taken to report
+   *     the same fraction
    */
   void learnTotal(
       double reportedNow, double total, double unreportedUnits, double reportedFraction) {
@@ -126,20 +136,20 @@
     if (clock.nanosSince(totalAtNanos) > windowNanos) {
       // The estimate is too old: a full quota less this window's use is the better one.
       availableUnits = plan.burstUnits() - ownWindowUnits - unreportedUnits;
-      projectedOthersUnits = 0;
+      othersUnitsSinceTotal = 0;
     }
     double usedByOthers =
         (othersTotal - othersWindowUnits)
             / Math.min(1, Math.max(MIN_REPORTED_FRACTION, reportedFraction));
     othersWindowUnits = othersTotal;
-    stale = false;
+    divided = false;
     learnOthersRate(usedByOthers);
     // What was forwarded beyond the quota took nothing from it, so it is not far below zero.
     availableUnits =
         Math.max(
-            Math.min(plan.burstUnits(), availableUnits - usedByOthers + projectedOthersUnits),
+            Math.min(plan.burstUnits(), availableUnits - usedByOthers + othersUnitsSinceTotal),
             -maxRequestUnits);
-    projectedOthersUnits = 0;
+    othersUnitsSinceTotal = 0;
   }
 
   /** The others' part of a total; after a loss of counts only what has been added since. */
@@ -175,29 +185,29 @@
     if (gateways <= 1 || clock.nanosSince(totalAtNanos) <= windowNanos) {
       return;
     }
-    if (!stale && availableUnits > 0) {
+    if (!divided && availableUnits > 0) {
       availableUnits =
           Math.max(availableUnits / gateways, Math.min(availableUnits, maxRequestUnits));
     }
-    stale = true;
+    divided = true;
   }
 
-  /** Whether the quota was divided for want of a recent total. */
-  boolean isStale() {
-    return stale;
+  /** Whether the quota is divided for want of a recent total. */
+  boolean isDivided() {
+    return divided;
   }
 
   /** Whether a total is old enough that another one is worth asking for. */
   boolean needsTotal() {
-    return clock.nanosSince(totalAtNanos) > windowNanos / 4;
+    return clock.nanosSince(totalAtNanos) > windowNanos / TOTALS_PER_WINDOW;
   }
 
   double availableUnits() {
     return availableUnits;
   }
 
-  /** The others' projected use in a time, in units. */
-  double projectedOthersUnits(long nanos) {
+  /** The units that the others are expected to use in a time. */
+  double expectedOthersUnits(long nanos) {
     return othersUnitsPerSecond * nanos * Nanos.IN_SECONDS;
   }
 
--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -8,7 +8,10 @@
 import merlinrouter.time.EventClock;
 import merlinrouter.time.Nanos;
 
-/** The quota of one customer: decides on admission and reports use to the shared counter. */
+/**
+ * The quota of one customer: decides on admission and reports use to the shared counter. Plan and
+ * number of gateways are those of the customer's first request.
+ */
 final class QuotaAccount {
   /** How often use is reported while less than half of the quota is left. */
   static final long REPORT_INTERVAL_NANOS = Nanos.PER_SECOND / 4;
@@ -22,16 +25,19 @@
   /** Less unreported use than this is rounding. */
   private static final double MIN_REPORT_UNITS = 1e-6;
 
-  /** Reports are whole millionths of a unit, as the counter's wire carries them. */
-  private static final double REPORTS_PER_UNIT = 1e6;
+  /** Reports are whole millionths of a unit, so that totals stay exact over many of them. */
+  private static final double MICRO_UNITS_PER_UNIT = 1e6;
 
-  private static final double REPORT_RESOLUTION_UNITS = 1e-6;
+  private static final double UNITS_PER_MICRO_UNIT = 1e-6;
+
+  /** Time for a call to the counter, in its timeouts, that has to be left to the objective. */
+  private static final int CALL_TIMEOUTS_NEEDED = 2;
 
   /** A retry follows a rejection, so the total that it needs is known better. */
-  private static final double RETRY_STAKE_FACTOR = 0.3;
+  private static final double RETRY_PRIORITY_FACTOR = 0.3;
 
   /** Unreported use misleads the others as much as a missing total, but can wait. */
-  private static final double REPORT_STAKE_FACTOR = 0.5;
+  private static final double REPORT_PRIORITY_FACTOR = 0.5;
 
   private final QuotaContext context;
   private final EventClock clock;
@@ -46,7 +52,7 @@
   private long reportDueAtNanos;
   private long usedAtNanos;
   private double unreportedUnits;
-  private double reportStake;
+  private double reportPriority;
   private int requestsInFlight;
   private int openRequests;
   private int callsUnderWay;
@@ -91,18 +97,11 @@
     }
     hardLimit.take(units);
     take(units);
-    reservation.markUnitsTaken();
-    reservation.setWithinQuota(true);
-    boolean totalWanted =
-        plan.unitsPerSecond() > 0
-            && !forwardsBeyondQuota()
-            && estimate.needsTotal()
-            && sharesCounter
-            && !context.calls().isCounterSilent();
-    double stake = context.calls().relativeStake(stake(reservation));
-    reportStake = stake * REPORT_STAKE_FACTOR;
-    if (totalWanted && canWaitForCounter(reservation) && context.calls().tryAcquire(stake)) {
-      reservation.setAwaitingCounter(true);
+    reservation.setState(QuotaReservation.State.UNDECIDED);
+    double priority = context.calls().normalizePriority(callPriority(reservation));
+    reportPriority = priority * REPORT_PRIORITY_FACTOR;
+    if (wantsTotal() && canWaitForCounter(reservation) && context.calls().tryAcquire(priority)) {
+      reservation.setState(QuotaReservation.State.AWAITING_COUNTER);
       callCounter(reservation);
       context.listener().deferred(reservation);
     } else {
@@ -110,57 +109,78 @@
     }
   }
 
+  /** Whether a decision without a recent total may be wrong, and a total can be had. */
+  private boolean wantsTotal() {
+    return plan.unitsPerSecond() > 0
+        && !forwardsBeyondQuota()
+        && estimate.needsTotal()
+        && sharesCounter
+        && !context.calls().isCounterSilent();
+  }
+
   /** Whether requests beyond the quota earn more than forwarding them costs. */
   private boolean forwardsBeyondQuota() {
     return plan.overQuotaValue() > plan.overQuotaCost();
   }
 
   private boolean canWaitForCounter(QuotaReservation reservation) {
-    long timeoutNanos = context.settings().counter().timeoutNanos();
-    return clock.nowNanos() + 2 * timeoutNanos < reservation.objectiveAtNanos();
+    long neededNanos = CALL_TIMEOUTS_NEEDED * context.settings().counter().timeoutNanos();
+    return clock.nowNanos() + neededNanos < reservation.objectiveAtNanos();
   }
 
-  /** What a wrong decision would cost; highest where own traffic says least of the customer's. */
-  private double stake(QuotaReservation reservation) {
+  /**
+   * Priority of a call before the decision: what a wrong one would cost. It is higher for a
+   * customer who comes through many gateways, since this one's traffic says less of the customer's.
+   */
+  private double callPriority(QuotaReservation reservation) {
     return reservation.requestClass().priorityWeight()
         * plan.valueFactor()
         * plan.overQuotaCost()
         * reservation.units()
         * gateways
         / context.settings().gatewayCount()
-        * (reservation.request().retry() ? RETRY_STAKE_FACTOR : 1);
+        * (reservation.request().retry() ? RETRY_PRIORITY_FACTOR : 1);
   }
 
   private void decideWithoutTotal(QuotaReservation reservation) {
     estimate.divideIfStale();
-    boolean doubtful =
-        estimate.isStale()
-            && reservation.request().retry()
-            && plan.burstUnits() / gateways < reservation.units();
-    decide(reservation, doubtful ? Double.MAX_VALUE : othersUseBetweenReports());
+    boolean quotaLeft = !isUnverifiableRetry(reservation) && isMoreLeftThanOthersMayUse();
+    decide(reservation, quotaLeft);
   }
 
-  /** The use of the others that the next total may show. */
-  private double othersUseBetweenReports() {
-    return estimate.projectedOthersUnits(REPORT_INTERVAL_NANOS);
+  /**
+   * Whether a request is a retry of a customer whose divided quota never holds its units: such a
+   * request was rejected before, and only a total could show that the quota is unused.
+   */
+  private boolean isUnverifiableRetry(QuotaReservation reservation) {
+    return estimate.isDivided()
+        && reservation.request().retry()
+        && plan.burstUnits() / gateways < reservation.units();
+  }
+
+  /** Whether the quota lasts for what the others are expected to use until the next total. */
+  private boolean isMoreLeftThanOthersMayUse() {
+    return estimate.availableUnits() >= estimate.expectedOthersUnits(REPORT_INTERVAL_NANOS);
   }
 
   /**
-   * Decides on a request whose units have been taken.
+   * Decides on a request whose units have been taken, and gives those of the quota back if it is
+   * beyond it.
    *
-   * @param reservedUnits units that have to be left in the quota
+   * @param quotaLeft whether the quota, less the request's units, is not used up
    */
-  private void decide(QuotaReservation reservation, double reservedUnits) {
-    double units = reservation.units();
-    boolean withinQuota = plan.unitsPerSecond() <= 0 || estimate.availableUnits() >= reservedUnits;
-    reservation.setWithinQuota(withinQuota);
-    if (!withinQuota) {
-      take(-units);
+  private void decide(QuotaReservation reservation, boolean quotaLeft) {
+    if (plan.unitsPerSecond() <= 0 || quotaLeft) {
+      reservation.setState(QuotaReservation.State.WITHIN_QUOTA);
+      context.listener().admitted(reservation);
+      return;
     }
-    if (withinQuota || forwardsBeyondQuota()) {
+    reservation.setState(QuotaReservation.State.BEYOND_QUOTA);
+    take(-reservation.units());
+    if (forwardsBeyondQuota()) {
       context.listener().admitted(reservation);
     } else {
-      double missingUnits = units - estimate.availableUnits();
+      double missingUnits = reservation.units() - estimate.availableUnits();
       context.listener().rejected(reservation, missingUnits / plan.unitsPerSecond());
     }
   }
@@ -176,23 +196,28 @@
     }
   }
 
-  /** Reports use that has not been reported, if a report is due and a call may be made. */
+  /**
+   * Reports use that has not been reported, if a report is due and a call may be made. Use that is
+   * older than a window, or that no other gateway asks for, is not reported any more.
+   */
   void reportUse() {
-    boolean reportable =
-        Math.abs(unreportedUnits) > MIN_REPORT_UNITS
-            && clock.nanosSince(usedAtNanos) < estimate.windowNanos()
-            && sharesCounter;
-    if (!reportable) {
+    if (!hasReportableUse()) {
       unreportedUnits = 0;
       context.accountsToReport().remove(this);
-    } else if (clock.nowNanos() >= reportDueAtNanos && context.calls().tryAcquire(reportStake)) {
+    } else if (clock.nowNanos() >= reportDueAtNanos && context.calls().tryAcquire(reportPriority)) {
       callCounter(null);
     }
   }
 
+  private boolean hasReportableUse() {
+    return Math.abs(unreportedUnits) > MIN_REPORT_UNITS
+        && clock.nanosSince(usedAtNanos) < estimate.windowNanos()
+        && sharesCounter;
+  }
+
   private void callCounter(QuotaReservation reservation) {
     long window = estimate.enterCurrentWindow();
-    double units = Math.rint(unreportedUnits * REPORTS_PER_UNIT) * REPORT_RESOLUTION_UNITS;
+    double units = Math.rint(unreportedUnits * MICRO_UNITS_PER_UNIT) * UNITS_PER_MICRO_UNIT;
     planUsage.recordReported(units);
     boolean low = estimate.availableUnits() < plan.burstUnits() / 2;
     reportDueAtNanos =
@@ -229,15 +254,15 @@
     if (reservation == null || !reservation.isAwaitingCounter()) {
       return;
     }
-    reservation.setAwaitingCounter(false);
-    if (reservation.isAbandoned()) {
+    if (reservation.state() == QuotaReservation.State.ABANDONED) {
+      reservation.setState(QuotaReservation.State.UNDECIDED);
       context.listener().abandoned(reservation);
-      return;
-    }
-    if (!answered) {
+    } else if (answered) {
+      decide(reservation, estimate.availableUnits() >= 0);
+    } else {
       estimate.divideIfStale();
+      decide(reservation, isMoreLeftThanOthersMayUse());
     }
-    decide(reservation, answered ? 0 : othersUseBetweenReports());
   }
 
   private void refill() {
@@ -268,17 +293,19 @@
     openRequests--;
     if (reservation.isForwarded()) {
       requestsInFlight--;
-    } else if (reservation.areUnitsTaken()) {
+      return;
+    }
+    if (reservation.state().holdsHardLimitUnits()) {
       hardLimit.take(-reservation.units());
-      if (reservation.isWithinQuota()) {
-        take(-reservation.units());
-      }
+    }
+    if (reservation.state().holdsQuotaUnits()) {
+      take(-reservation.units());
     }
   }
 
   /**
-   * Whether a new account would know as much. Customers are ever new, and many come only once, so
-   * such accounts are dropped.
+   * Whether a new account would know as much. Many customers come only once, so such accounts are
+   * dropped.
    */
   boolean isDisposable() {
     long idleNanos = clock.nanosSince(Math.max(usedAtNanos, estimate.totalAtNanos()));
--- a/src/main/java/merlinrouter/quota/QuotaManager.java
+++ b/src/main/java/merlinrouter/quota/QuotaManager.java
@@ -49,7 +49,8 @@
   }
 
   /**
-   * Opens a reservation, which takes nothing yet and has to be released at the request's end.
+   * Opens a reservation, which takes nothing yet and has to be released at the request's end. The
+   * customer's plan and number of gateways are taken from the first request that is seen.
    *
    * @param request a request whose plan exists
    * @param objectiveAtNanos moment up to which a response earns the full value
--- a/src/main/java/merlinrouter/quota/QuotaReservation.java
+++ b/src/main/java/merlinrouter/quota/QuotaReservation.java
@@ -6,16 +6,41 @@
 /**
  * What one request holds of its customer's quota, from its arrival to its end: units, and a place
  * among the customer's requests in flight. Used by one thread.
+ *
+ * <p>Units are taken from hard limit and quota before the decision, so that requests that wait for
+ * the counter count against each other. Those of the quota are given back if the request turns out
+ * to be beyond it; all are given back with the release of a request that was never forwarded.
  */
 public final class QuotaReservation {
+  /** What is held, and whether it has been decided on. */
+  enum State {
+    /** Nothing has been taken. */
+    OPENED,
+    /** Units were taken from hard limit and quota; nothing was decided. */
+    UNDECIDED,
+    /** As {@link #UNDECIDED}; the decision waits for the counter. */
+    AWAITING_COUNTER,
+    /** As {@link #AWAITING_COUNTER}; the client has disconnected. */
+    ABANDONED,
+    /** The request is within the quota and holds its units. */
+    WITHIN_QUOTA,
+    /** The request is beyond the quota; it holds units of the hard limit only. */
+    BEYOND_QUOTA;
+
+    boolean holdsHardLimitUnits() {
+      return this != OPENED;
+    }
+
+    boolean holdsQuotaUnits() {
+      return this != OPENED && this != BEYOND_QUOTA;
+    }
+  }
+
   private final QuotaAccount account;
   private final ClientRequest request;
   private final RequestClass requestClass;
   private final long objectiveAtNanos;
-  private boolean unitsTaken;
-  private boolean withinQuota;
-  private boolean awaitingCounter;
-  private boolean abandoned;
+  private State state = State.OPENED;
   private boolean forwarded;
 
   QuotaReservation(
@@ -41,9 +66,11 @@
 
   /** Value of the request: its class's weight times its plan's factor, less beyond the quota. */
   public double value() {
-    double part =
-        withinQuota ? 1 : account.plan().overQuotaValue() - account.plan().overQuotaCost();
-    return requestClass.priorityWeight() * account.plan().valueFactor() * part;
+    double fraction =
+        state == State.BEYOND_QUOTA
+            ? account.plan().overQuotaValue() - account.plan().overQuotaCost()
+            : 1;
+    return requestClass.priorityWeight() * account.plan().valueFactor() * fraction;
   }
 
   /** Whether the customer may have one more request in flight. */
@@ -59,16 +86,16 @@
     }
   }
 
-  /** Replaces the request's units by those that it really used. */
+  /** Replaces the units that the request holds of the quota by those that it really used. */
   public void settle(double actualUnits) {
-    if (withinQuota) {
+    if (state.holdsQuotaUnits()) {
       account.take(actualUnits - request.units());
     }
   }
 
-  /** Notes that nobody waits for the request any more, while the counter is being asked. */
+  /** Notes that the client has disconnected while the counter is being asked. */
   public void abandon() {
-    abandoned = true;
+    state = State.ABANDONED;
   }
 
   /** Ends the reservation; the units are given back if the request was never forwarded. */
@@ -101,31 +128,16 @@
     return forwarded;
   }
 
-  boolean isAbandoned() {
-    return abandoned;
-  }
-
-  boolean areUnitsTaken() {
-    return unitsTaken;
+  State state() {
+    return state;
   }
 
-  void markUnitsTaken() {
-    unitsTaken = true;
-  }
-
-  boolean isWithinQuota() {
-    return withinQuota;
-  }
-
-  void setWithinQuota(boolean within) {
-    withinQuota = within;
+  void setState(State newState) {
+    state = newState;
   }
 
+  /** Whether the decision waits for the counter, and whether or not the client still does. */
   boolean isAwaitingCounter() {
-    return awaitingCounter;
-  }
-
-  void setAwaitingCounter(boolean awaiting) {
-    awaitingCounter = awaiting;
+    return state == State.AWAITING_COUNTER || state == State.ABANDONED;
   }
 }
