--- a/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
+++ b/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
@@ -1,6 +1,7 @@
 package merlinrouter.node.downstream;
 
 import java.util.ArrayDeque;
+import merlinrouter.time.Nanos;
 
 /**
  * Remembers when the bytes of a connection that wait to be decoded arrived: time passes for a
@@ -8,7 +9,7 @@
  */
 final class ArrivalTimes {
   /** Reads closer together than this count as one, which arrived at its earliest moment. */
-  private static final long MERGE_INTERVAL_NANOS = 10_000_000L;
+  private static final long MERGE_INTERVAL_NANOS = 10 * Nanos.PER_MILLI;
 
   /** Further reads are merged into the last one. */
   private static final int MAX_READS = 64;
--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -169,12 +169,12 @@
     if (receiving && !closing && elapsedNanos > REQUEST_TIMEOUT_NANOS) {
       reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
     } else if ((closing || !receiving) && elapsedNanos > IDLE_TIMEOUT_NANOS) {
-      closeIdle("idle timeout");
+      initiateClose("idle timeout");
     }
   }
 
   @Override
-  public void closeIdle(String reason) {
+  public void initiateClose(String reason) {
     if (handler.guard().mayClose(openRequest, reason)) {
       handler.log().count(NodeLog.Event.IDLE_CLOSED);
       closing = true;
@@ -373,7 +373,7 @@
 
     @Override
     public boolean hasLeft() {
-      return presence.isDisconnected();
+      return presence.readAndCheckDisconnected();
     }
   }
 }
--- a/src/main/java/merlinrouter/node/downstream/ClientPresence.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientPresence.java
@@ -3,6 +3,7 @@
 import io.netty.channel.Channel;
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.nio.AbstractNioChannel;
+import merlinrouter.time.Nanos;
 
 /**
  * Knows when a connection's client was last seen connected: everything it had sent was read, and no
@@ -12,9 +13,9 @@
   /**
    * A client whose bytes wait unread counts as connected for this long: no attempt may start 100 ms
    * after its client disconnected, and a disconnect behind unread bytes can't be seen. The other 20
-   * ms are for the attempt's way out.
+   * ms are for sending the attempt.
    */
-  private static final long MAX_UNSEEN_NANOS = 80_000_000L;
+  private static final long MAX_UNSEEN_NANOS = 80 * Nanos.PER_MILLI;
 
   private final Channel channel;
   private long lastSeenNanos;
@@ -47,12 +48,12 @@
   }
 
   /**
-   * Whether the client has disconnected, or may have done so unseen. Reads the socket for this:
+   * Reads the socket, and returns whether the client has disconnected or may have done so unseen:
    * with a stalled event loop, or one that is still handling other sockets, a close may not have
    * been delivered yet.
    */
   @SuppressWarnings("deprecation") // no other handle is offered by the channel's unsafe side
-  boolean isDisconnected() {
+  boolean readAndCheckDisconnected() {
     RecvByteBufAllocator.Handle lastRead = channel.unsafe().recvBufAllocHandle();
     boolean mayRead = isReadable();
     while (mayRead) {
--- a/src/main/java/merlinrouter/node/downstream/ConnectionRegistry.java
+++ b/src/main/java/merlinrouter/node/downstream/ConnectionRegistry.java
@@ -8,12 +8,12 @@
 /** The open client connections: limits their number and completes a drain when none is left. */
 final class ConnectionRegistry {
   /** Half of the sockets are for clients, three eighths for endpoints, the rest for the process. */
-  private static final int CONNECTION_FRACTION = 2;
+  private static final int SOCKETS_PER_CONNECTION = 2;
 
   private static final int MIN_CONNECTIONS = 8;
 
-  /** A third of the clients' connections may stay open idle. */
-  private static final int IDLE_FRACTION = 6;
+  /** A sixth of the sockets, which is a third of the clients' connections, may stay open idle. */
+  private static final int SOCKETS_PER_IDLE_CONNECTION = 6;
 
   private static final int MIN_IDLE_CONNECTIONS = 4;
 
@@ -29,8 +29,8 @@
    * @param maxSockets how many sockets the process may have open
    */
   ConnectionRegistry(int maxSockets) {
-    maxConnections = Math.max(MIN_CONNECTIONS, maxSockets / CONNECTION_FRACTION);
-    maxIdleConnections = Math.max(MIN_IDLE_CONNECTIONS, maxSockets / IDLE_FRACTION);
+    maxConnections = Math.max(MIN_CONNECTIONS, maxSockets / SOCKETS_PER_CONNECTION);
+    maxIdleConnections = Math.max(MIN_IDLE_CONNECTIONS, maxSockets / SOCKETS_PER_IDLE_CONNECTION);
   }
 
   /**
@@ -68,7 +68,7 @@
       }
     }
     if (candidate != null) {
-      candidate.closeIdle("evicted for a new connection");
+      candidate.initiateClose("evicted for a new connection");
     }
     return candidate != null;
   }
@@ -142,7 +142,7 @@
   void closeIdleConnections(String reason) {
     for (TrackedConnection connection : List.copyOf(connections)) {
       if (connection.isBetweenRequests()) {
-        connection.closeIdle(reason);
+        connection.initiateClose(reason);
       }
     }
   }
--- a/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
+++ b/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
@@ -5,10 +5,12 @@
  * alone would not keep a thousand of them from exhausting the memory.
  */
 public final class MemoryBudget {
-  /** Requests up to this size, which most are, may also use the last quarter. */
+  /** Requests up to this size, which most are, may also use the last quarter of the budget. */
   private static final int SMALL_REQUEST_BYTES = 4 * 1024;
 
-  private static final int MEMORY_FRACTION = 16;
+  private static final int RESERVED_DIVISOR = 4;
+
+  private static final int MEMORY_DIVISOR = 16;
   private static final long MIN_BUDGET_BYTES = 1L << 20;
   private static final long MAX_BUDGET_BYTES = 8L << 20;
 
@@ -21,13 +23,15 @@
    * @param memoryBytes what the process may use
    */
   public MemoryBudget(long memoryBytes) {
-    maxBytes =
-        Math.max(MIN_BUDGET_BYTES, Math.min(MAX_BUDGET_BYTES, memoryBytes / MEMORY_FRACTION));
+    maxBytes = Math.max(MIN_BUDGET_BYTES, Math.min(MAX_BUDGET_BYTES, memoryBytes / MEMORY_DIVISOR));
   }
 
   /** Whether a request that holds, or will hold, so many bytes may go on growing. */
   public boolean allows(long requestBytes) {
-    long limit = requestBytes > SMALL_REQUEST_BYTES ? maxBytes / 4 * 3 : maxBytes;
+    long limit =
+        requestBytes > SMALL_REQUEST_BYTES
+            ? maxBytes / RESERVED_DIVISOR * (RESERVED_DIVISOR - 1)
+            : maxBytes;
     return usedBytes < limit;
   }
 
--- a/src/main/java/merlinrouter/node/downstream/RequestParser.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestParser.java
@@ -7,16 +7,15 @@
 import io.netty.handler.codec.http.cookie.Cookie;
 import io.netty.handler.codec.http.cookie.ServerCookieDecoder;
 import java.util.List;
-import java.util.function.LongBinaryOperator;
 import merlinrouter.model.ClientRequest;
 import merlinrouter.model.Idempotency;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.RequestClass;
+import merlinrouter.time.Nanos;
 
 /** Parses and validates the head of a request. Has no state of its own. */
 final class RequestParser {
   private static final int HEXADECIMAL = 16;
-  private static final long NANOS_PER_MS = 1_000_000L;
 
   /** A client may wait for at most this many times its class's deadline. */
   private static final int MAX_TIMEOUT_FACTOR = 2;
@@ -24,7 +23,7 @@
   private final List<String> requestClassNames;
   private final List<String> quotaPlanNames;
   private final GatewaySettings settings;
-  private final LongBinaryOperator deadline;
+  private final DeadlineFunction deadline;
 
   /**
    * Creates a parser.
@@ -37,7 +36,7 @@
       List<String> requestClassNames,
       List<String> quotaPlanNames,
       GatewaySettings settings,
-      LongBinaryOperator deadline) {
+      DeadlineFunction deadline) {
     this.requestClassNames = requestClassNames;
     this.quotaPlanNames = quotaPlanNames;
     this.settings = settings;
@@ -47,10 +46,10 @@
   /**
    * Parses a request.
    *
-   * @param arrivedAt when it arrived, by the gateway's clock, in nanoseconds
+   * @param arrivedAtNanos when it arrived, by the gateway's clock
    * @throws InvalidRequestException for the first thing that is wrong with it
    */
-  ParsedRequest parse(HttpRequest head, long arrivedAt) throws InvalidRequestException {
+  ParsedRequest parse(HttpRequest head, long arrivedAtNanos) throws InvalidRequestException {
     String uri = head.uri();
     if (!uri.equals(ClientProtocol.API_PATH) && !uri.startsWith(ClientProtocol.API_PATH + "?")) {
       throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
@@ -70,7 +69,7 @@
             classIndex,
             planIndex,
             customer(headers),
-            deadline.applyAsLong(arrivedAt, timeoutNanos),
+            deadline.deadlineNanos(arrivedAtNanos, timeoutNanos),
             quota.units(settings.counter().maxRequestUnits()),
             quota.gatewaySpread(settings.gatewayCount()),
             quota.firstGateway(settings.gatewayCount()),
@@ -116,8 +115,8 @@
             HeaderValues.required(headers, ClientProtocol.TIMEOUT_MS),
             ClientProtocol.TIMEOUT_MS,
             1,
-            MAX_TIMEOUT_FACTOR * requestClass.deadlineNanos() / NANOS_PER_MS);
-    return timeoutMs * NANOS_PER_MS;
+            MAX_TIMEOUT_FACTOR * requestClass.deadlineNanos() / Nanos.PER_MILLI);
+    return timeoutMs * Nanos.PER_MILLI;
   }
 
   private static long customer(HttpHeaders headers) throws InvalidRequestException {
--- a/src/main/java/merlinrouter/node/downstream/ResponseWriter.java
+++ b/src/main/java/merlinrouter/node/downstream/ResponseWriter.java
@@ -10,10 +10,10 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.math.BigDecimal;
+import merlinrouter.time.Nanos;
 
 /** Writes responses to one connection. */
 final class ResponseWriter {
-  private static final long NANOS_PER_MS = 1_000_000L;
 
   /** Retry-After is written in seconds with this many decimal places, that is in milliseconds. */
   private static final int RETRY_AFTER_SCALE = 3;
@@ -54,7 +54,7 @@
   }
 
   private static String toSeconds(long nanos) {
-    long millis = (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS;
+    long millis = (nanos + Nanos.PER_MILLI - 1) / Nanos.PER_MILLI;
     return BigDecimal.valueOf(millis, RETRY_AFTER_SCALE).toPlainString();
   }
 }
--- a/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
@@ -27,5 +27,5 @@
    * Closes it without being asked to. Does nothing, apart from counting a violation, if a request
    * is open on it.
    */
-  void closeIdle(String reason);
+  void initiateClose(String reason);
 }
--- a/src/test/java/merlinrouter/node/downstream/ConnectionRegistryTest.java
+++ b/src/test/java/merlinrouter/node/downstream/ConnectionRegistryTest.java
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void closeIdle(String reason) {
+    public void initiateClose(String reason) {
       closing = true;
       closeReason = reason;
     }
--- a/src/test/java/merlinrouter/node/downstream/RequestParserTest.java
+++ b/src/test/java/merlinrouter/node/downstream/RequestParserTest.java
@@ -18,11 +18,11 @@
 import merlinrouter.settings.CounterSettings;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.RequestClass;
+import merlinrouter.time.Nanos;
 import org.junit.jupiter.api.Test;
 
 /** Parses heads of requests, valid ones and one of each kind that is rejected. */
 class RequestParserTest {
-  private static final long NANOS_PER_MS = 1_000_000L;
   private static final long CLASS_DEADLINE_MS = 30_000;
   private static final long ARRIVED_AT = 77;
   private static final int GATEWAY_COUNT = 4;
@@ -50,7 +50,13 @@
 
   private static RequestClass requestClass(Idempotency idempotency) {
     return new RequestClass(
-        0, CLASS_DEADLINE_MS * NANOS_PER_MS, idempotency, DeduplicationScope.values()[0], 0, 0, 1);
+        0,
+        CLASS_DEADLINE_MS * Nanos.PER_MILLI,
+        idempotency,
+        DeduplicationScope.values()[0],
+        0,
+        0,
+        1);
   }
 
   /** A valid request of the class that requires an idempotency key. */
@@ -90,7 +96,7 @@
     assertEquals(HttpMethod.POST, parsed.method());
     assertEquals("/api?slot=4", parsed.uri());
     assertEquals("key-1", parsed.idempotencyKey());
-    long deadline = ARRIVED_AT + 20_000 * NANOS_PER_MS;
+    long deadline = ARRIVED_AT + 20_000 * Nanos.PER_MILLI;
     assertEquals(
         new ClientRequest("t-1", 1, 1, (1L << 33) - 1, deadline, 1.5, 2, 3, false),
         parsed.request());
@@ -118,7 +124,7 @@
   void timeoutIsAtMostTwiceTheClassDeadline() throws Exception {
     HttpRequest head = order();
     head.headers().set("X-Expires-In-Ms", "60000");
-    assertEquals(ARRIVED_AT + 60_000 * NANOS_PER_MS, parse(head).deadlineNanos());
+    assertEquals(ARRIVED_AT + 60_000 * Nanos.PER_MILLI, parse(head).deadlineNanos());
     for (String invalid : List.of("60001", "0", "-1", "+1", "1e3", "soon", "0000000000000001")) {
       assertHeaderRejected(
           "X-Expires-In-Ms", invalid, "X-Expires-In-Ms is not a whole number from 1 to 60000");
