--- /dev/null
+++ b/src/main/java/merlinrouter/node/EndpointListUpdater.java
@@ -0,0 +1,63 @@
+package merlinrouter.node;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.node.config.EndpointEntry;
+import merlinrouter.node.config.EndpointList;
+import merlinrouter.node.discovery.EndpointListListener;
+import merlinrouter.node.discovery.EndpointStartTimes;
+
+/**
+ * Passes updates of the endpoint list on: converts the endpoints' start times to the gateway's
+ * clock, has the connections follow the list, and tells the gateway the list as it then stands.
+ * Used on the event loop only.
+ */
+final class EndpointListUpdater implements EndpointListListener {
+  private final GatewayHost host;
+  private final EndpointStartTimes startTimes;
+  private final NodeClock clock;
+
+  EndpointListUpdater(GatewayHost host, EndpointStartTimes startTimes, NodeClock clock) {
+    this.host = host;
+    this.startTimes = startTimes;
+    this.clock = clock;
+  }
+
+  @Override
+  public void endpointsUpdated(EndpointList list, EndpointUpdateType type) {
+    boolean whole = type != EndpointUpdateType.DELTA;
+    List<Endpoint> endpoints = host.upstreamPool().update(withMonotonicStartTimes(list), whole);
+    host.endpointsUpdated(type, endpoints);
+  }
+
+  private EndpointList withMonotonicStartTimes(EndpointList list) {
+    observeClocks();
+    long nowNanos = clock.nowNanos();
+    List<EndpointEntry> entries = new ArrayList<>();
+    Set<String> named = new HashSet<>();
+    for (EndpointEntry entry : list.entries()) {
+      Endpoint endpoint = entry.endpoint();
+      named.add(endpoint.id());
+      long startedAtNanos =
+          startTimes.toMonotonicNanos(endpoint.id(), endpoint.startedAtNanos(), nowNanos);
+      entries.add(new EndpointEntry(endpoint.withStartedAtNanos(startedAtNanos), entry.address()));
+      if (endpoint.state() == EndpointState.REMOVED) {
+        startTimes.forget(endpoint.id());
+      }
+    }
+    if (list.complete()) {
+      startTimes.retain(named);
+    }
+    return new EndpointList(list.revision(), list.complete(), entries);
+  }
+
+  /** Compares the wall clock with the gateway's; called often enough to notice a step soon. */
+  void observeClocks() {
+    startTimes.observeClocks(clock.nowNanos(), NodeClock.wallNanos());
+  }
+}
--- /dev/null
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -0,0 +1,275 @@
+package merlinrouter.node;
+
+import io.netty.channel.EventLoop;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongConsumer;
+import merlinrouter.gateway.Gateway;
+import merlinrouter.gateway.GatewayActions;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.Endpoint;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Outcome;
+import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.counter.CounterClient;
+import merlinrouter.node.counter.CounterResult;
+import merlinrouter.node.downstream.MemoryBudget;
+import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.request.InvariantGuard;
+import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.request.ResponseSink;
+import merlinrouter.node.upstream.AttemptListener;
+import merlinrouter.node.upstream.CompletedAttempt;
+import merlinrouter.node.upstream.UpstreamPool;
+import merlinrouter.settings.RequestClass;
+
+/**
+ * The host of the gateway's decisions: holds the open requests, tells the gateway what happens to
+ * them, and carries its actions out. Used on the event loop only.
+ */
+final class GatewayHost implements GatewayActions, AttemptListener {
+  /**
+   * How long after its deadline a request that the gateway has not ended is failed; before the
+   * client gives up, whose deadline is later by {@link DeadlineMargin}.
+   */
+  private static final long OVERDUE_NANOS = TimeUnit.MILLISECONDS.toNanos(6);
+
+  private static final long MIN_ATTEMPT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+
+  private final EventLoop loop;
+  private final NodeConfig config;
+  private final NodeLog log;
+  private final NodeClock clock;
+  private final MemoryBudget budget;
+  private final InvariantGuard guard;
+  private final EventDelivery events;
+  private final UpstreamPool upstreamPool;
+  private final CounterClient counterClient;
+  private final Map<String, OpenRequest> openRequests = new HashMap<>();
+  private Gateway gateway;
+
+  GatewayHost(
+      EventLoop loop,
+      NodeConfig config,
+      NodeLog log,
+      NodeClock clock,
+      MemoryBudget budget,
+      InvariantGuard guard) {
+    this.loop = loop;
+    this.config = config;
+    this.log = log;
+    this.clock = clock;
+    this.budget = budget;
+    this.guard = guard;
+    events = new EventDelivery(loop, clock);
+    upstreamPool = new UpstreamPool(this, loop, config, log);
+    counterClient = new CounterClient(this::counterCallEnded, loop, config);
+  }
+
+  /** Starts the gateway; no other method may be called before. */
+  void start() {
+    gateway = new Gateway(config.settings(), config.seed(), clock.nowNanos(), this);
+  }
+
+  boolean isStarted() {
+    return gateway != null;
+  }
+
+  UpstreamPool upstreamPool() {
+    return upstreamPool;
+  }
+
+  CounterClient counterClient() {
+    return counterClient;
+  }
+
+  /**
+   * Accepts a request and hands it to the gateway.
+   *
+   * @return false, with nothing done, if a request with the same id is open
+   */
+  boolean accept(OpenRequest request) {
+    if (openRequests.putIfAbsent(request.id(), request) != null) {
+      return false;
+    }
+    long overdueAtNanos = request.clientRequest().deadlineNanos() + OVERDUE_NANOS;
+    request.setOverdueTimer(
+        loop.schedule(
+            () -> endOverdue(request),
+            Math.max(0, overdueAtNanos - clock.nowNanos()),
+            TimeUnit.NANOSECONDS));
+    budget.change(request.body().readableBytes());
+    deliverOrFail(request, now -> gateway.requestReceived(now, request.clientRequest()));
+    return true;
+  }
+
+  /** Ends a request that the gateway has left without a response: each is owed one. */
+  private void endOverdue(OpenRequest request) {
+    if (!request.isResponded()) {
+      String attempt = request.isAttemptInFlight() ? "one in flight" : "none in flight";
+      log.request(
+          NodeLog.Event.OVERDUE, request.id(), request.attempts() + " attempts, " + attempt);
+      fail(request);
+      events.deliver(now -> gateway.clientDisconnected(now, request.id()));
+    }
+  }
+
+  /** Notes that the client of an open request disconnected. */
+  void clientDisconnected(OpenRequest request) {
+    if (request.takeResponseSink() != null) {
+      log.count(NodeLog.Event.CLIENT_LEFT);
+      forgetIfEnded(request);
+      deliverOrFail(request, now -> gateway.clientDisconnected(now, request.id()));
+    }
+  }
+
+  /** Notes a change of the endpoint list. */
+  void endpointsUpdated(EndpointUpdateType type, List<Endpoint> endpoints) {
+    events.deliver(now -> gateway.endpointsUpdated(now, type, endpoints));
+  }
+
+  @Override
+  public void attemptEnded(CompletedAttempt attempt) {
+    OpenRequest request = attempt.request();
+    request.endAttempt(attempt.outcome(), clock.nowNanos() - attempt.durationNanos());
+    if (attempt.outcome() == Outcome.OK) {
+      ResponseSink sink = request.takeResponseSink();
+      if (sink != null) {
+        sink.served(attempt.body());
+      }
+    }
+    AttemptResult result =
+        new AttemptResult(
+            request.id(),
+            attempt.outcome(),
+            attempt.durationNanos(),
+            attempt.endpointId(),
+            request.isResponded(),
+            request.attempts() - 1,
+            attempt.chargedUnits(),
+            List.of());
+    deliverOrFail(request, now -> gateway.attemptEnded(now, result));
+    forgetIfEnded(request);
+  }
+
+  private void counterCallEnded(CounterResult result) {
+    events.deliver(
+        now ->
+            gateway.counterCallEnded(now, result.counterKey(), result.outcome(), result.total()));
+  }
+
+  /** Delivers an event; if the gateway fails on it, the request is failed and the gateway told. */
+  private void deliverOrFail(OpenRequest request, LongConsumer event) {
+    events.deliver(
+        event,
+        () -> {
+          fail(request);
+          // The gateway must not go on counting it; an attempt in flight still ends.
+          loop.execute(() -> events.deliver(now -> gateway.clientDisconnected(now, request.id())));
+        });
+  }
+
+  /** Forgets a request that is owed no response and has no attempt in flight. */
+  private void forgetIfEnded(OpenRequest request) {
+    if (request.isResponded()
+        && !request.isAttemptInFlight()
+        && openRequests.remove(request.id(), request)) {
+      budget.change(-request.body().readableBytes());
+      request.release();
+    }
+  }
+
+  @Override
+  public void startAttempt(String requestId, String endpointId, long timeoutNanos) {
+    OpenRequest request = openRequests.get(requestId);
+    if (request != null && !request.isAttemptInFlight() && !request.isAwaited()) {
+      fail(request);
+    }
+    if (request != null && request.isResponded()) {
+      log.count(NodeLog.Event.ATTEMPT_WITHHELD);
+    }
+    if (request == null || request.isResponded() || !mayStartAttempt(request)) {
+      reportNotSent(requestId, endpointId, request == null || request.isResponded());
+      return;
+    }
+    if (request.attempts() > 0) {
+      log.count(NodeLog.Event.RETRIED);
+    }
+    request.startAttempt();
+    // The gateway's timeout counts from its event; the event loop may have stalled since.
+    long leftNanos = timeoutNanos - events.nanosSinceEventStarted();
+    upstreamPool.send(request, endpointId, Math.max(MIN_ATTEMPT_TIMEOUT_NANOS, leftNanos));
+  }
+
+  private boolean mayStartAttempt(OpenRequest request) {
+    RequestClass requestClass =
+        config.settings().requestClasses().get(request.clientRequest().classIndex());
+    return guard.mayStartAttempt(request, requestClass, clock.nowNanos());
+  }
+
+  /** Ends an attempt that is not started: the gateway counts it as in flight until then. */
+  private void reportNotSent(String requestId, String endpointId, boolean requestComplete) {
+    AttemptResult result =
+        new AttemptResult(
+            requestId, Outcome.NOT_SENT, 0, endpointId, requestComplete, 0, 0, List.of());
+    loop.execute(() -> events.deliver(now -> gateway.attemptEnded(now, result)));
+  }
+
+  @Override
+  public void reject(String requestId, long retryAfterNanos) {
+    OpenRequest request = openRequests.get(requestId);
+    ResponseSink sink = request == null ? null : request.takeResponseSink();
+    if (sink != null) {
+      log.count(NodeLog.Event.REFUSED);
+      sink.rejected(retryAfterNanos);
+      forgetIfEnded(request);
+    }
+  }
+
+  @Override
+  public void fail(String requestId) {
+    OpenRequest request = openRequests.get(requestId);
+    if (request != null) {
+      fail(request);
+    }
+  }
+
+  private void fail(OpenRequest request) {
+    ResponseSink sink = request.takeResponseSink();
+    if (sink != null) {
+      log.request(NodeLog.Event.FAILED, request.id(), "after " + request.attempts() + " attempts");
+      sink.failed();
+      forgetIfEnded(request);
+    }
+  }
+
+  @Override
+  public void startHealthCheck(String endpointId) {
+    // Not supported yet: load reports are used in the simulator only.
+  }
+
+  @Override
+  public void addToCounter(long counterKey, double amount, long timeToLiveNanos) {
+    counterClient.add(counterKey, amount, timeToLiveNanos);
+  }
+
+  @Override
+  public void scheduleTimer(long token, long delayNanos) {
+    loop.schedule(
+        () -> events.deliver(now -> gateway.timerFired(now, token)),
+        delayNanos,
+        TimeUnit.NANOSECONDS);
+  }
+
+  @Override
+  public void subscribeToEndpoints() {
+    // Discovery is watched from the start, and again whenever a watch ends.
+  }
+
+  @Override
+  public void log(String line) {
+    log.line(line);
+  }
+}
--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -21,6 +21,7 @@
 import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.request.ResponseSink;
 
 /**
  * A client connection. It handles one request at a time; pipelined requests wait undecoded until
@@ -350,14 +351,14 @@
   }
 
   /** Writes the final response of the open request. */
-  private final class Responder implements OpenRequest.Answers {
+  private final class Responder implements ResponseSink {
     @Override
     public void served(ByteBuf content) {
       respond(HttpResponseStatus.OK, content.retain(), 0);
     }
 
     @Override
-    public void refused(long retryAfterNanos) {
+    public void rejected(long retryAfterNanos) {
       respond(
           retryAfterNanos > 0
               ? HttpResponseStatus.TOO_MANY_REQUESTS
@@ -372,7 +373,7 @@
     }
 
     @Override
-    public boolean hasLeft() {
+    public boolean readAndCheckDisconnected() {
       return presence.readAndCheckDisconnected();
     }
   }
--- a/src/main/java/merlinrouter/node/request/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/request/InvariantGuard.java
@@ -1,63 +1,67 @@
 package merlinrouter.node.request;
 
 import merlinrouter.model.Idempotency;
-import merlinrouter.model.Outcome;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.settings.RequestClass;
 
 /**
- * The last check before an attempt begins, a request is repeated or a client's connection is
- * closed. What would break a rule is not carried out, counted as a violation and told with the
- * request's id: a violation is a fault of this program, since whoever decides should not have asked
- * for it. Used on the event loop only.
+ * The last check before an attempt is started or a client connection is closed. An action that
+ * would break a rule of the service is not carried out; it is counted and logged as a violation,
+ * which is a fault of this program, since whatever decides should not have asked for it. Used on
+ * the event loop only.
  */
 public final class InvariantGuard {
   private final NodeLog log;
 
+  /** Creates a guard that logs violations. */
   public InvariantGuard(NodeLog log) {
     this.log = log;
   }
 
   /**
-   * Whether an attempt may begin.
+   * Whether an attempt of a request may start.
    *
-   * @param request what is to be sent
-   * @param spec its class
-   * @param now the node's clock, in nanoseconds
+   * @param nowNanos the time, by the gateway's clock
    */
-  public boolean maySend(OpenRequest request, RequestClass spec, long now) {
-    String broken = null;
-    if (request.attemptOut) {
-      broken = "an attempt would begin while another is out";
-    } else if (request.mayHaveRun && spec.idempotency() == Idempotency.NON_IDEMPOTENT) {
-      broken = "an unsafe request that may have run would be sent again";
-    } else if (request.mayHaveRun
-        && spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-        && now - request.firstMayHaveRunAt > spec.deduplicationWindowNanos()) {
-      broken = "a keyed request would be sent again behind its key's window";
+  public boolean mayStartAttempt(OpenRequest request, RequestClass requestClass, long nowNanos) {
+    String violation = violationOfAttempt(request, requestClass, nowNanos);
+    if (violation != null) {
+      log.violation(request.id(), violation);
     }
-    if (broken != null) {
-      log.violation(request.request.id(), broken);
-    }
-    return broken == null;
+    return violation == null;
   }
 
-  /**
-   * Notes the end of an attempt that began at {@code begunAt} of the node's clock, in nanoseconds.
-   */
-  public void attemptEnded(OpenRequest request, Outcome outcome, long begunAt) {
-    if (!outcome.provesNotExecuted() && !request.mayHaveRun) {
-      request.mayHaveRun = true;
-      request.firstMayHaveRunAt = begunAt;
+  private static String violationOfAttempt(
+      OpenRequest request, RequestClass requestClass, long nowNanos) {
+    if (request.isAttemptInFlight()) {
+      return "an attempt would start while another is in flight";
+    }
+    if (!request.isPossiblyExecuted()) {
+      return null;
+    }
+    if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+      return "a request that is not idempotent and may have been executed would be retried";
     }
+    long ageNanos = nowNanos - request.firstExecutionNanos();
+    if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+        && ageNanos > requestClass.deduplicationWindowNanos()) {
+      return "a request with an idempotency key would be retried after its deduplication window";
+    }
+    return null;
   }
 
-  /** Whether a client's connection may be closed unasked: not over a request that was read. */
-  public boolean mayClose(OpenRequest open, String why) {
-    if (open == null) {
+  /**
+   * Whether a client connection may be closed on the node's initiative: not over a request that has
+   * been read.
+   *
+   * @param openRequest the request that is open on it; null if there is none
+   * @param reason why it would be closed
+   */
+  public boolean mayClose(OpenRequest openRequest, String reason) {
+    if (openRequest == null) {
       return true;
     }
-    log.violation(open.request.id(), "its connection would be closed without an answer, " + why);
+    log.violation(openRequest.id(), "its connection would be closed without a response, " + reason);
     return false;
   }
 }
--- a/src/main/java/merlinrouter/node/request/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/request/OpenRequest.java
@@ -4,77 +4,148 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
 import merlinrouter.model.ClientRequest;
+import merlinrouter.model.Outcome;
 
-/** A request that was taken: what goes on to app servers, and what is still owed to its client. */
+/**
+ * A request that was accepted: what is forwarded to endpoints, its attempts so far, and the
+ * response that is owed to its client. Used on the event loop only.
+ */
 public final class OpenRequest {
-  /** Where the one final answer goes; told on the loop only. */
-  public interface Answers {
-    /** Passes on an app server's answer; the buffer stays the caller's. */
-    void served(ByteBuf body);
-
-    /**
-     * Says that trying again is harmless; {@code retryAfter} nanoseconds from now, 0 for no advice.
-     */
-    void refused(long retryAfter);
-
-    /** Says that it failed, with no promise about the effect. */
-    void failed();
-
-    /**
-     * PollTimestamps whether the client has left, or has sent so much ahead that its leaving may
-     * have gone unseen.
-     */
-    boolean hasLeft();
-  }
-
-  public final ClientRequest request;
-  public final HttpMethod method;
-  public final String uri;
-  public final String key;
-  public final ByteBuf body;
-  private final Answers answers;
-  public int attempts;
-  public boolean attemptOut;
+  private final ClientRequest clientRequest;
+  private final HttpMethod method;
+  private final String uri;
+  private final String idempotencyKey;
+  private final ByteBuf body;
+  private final ResponseSink responseSink;
+  private int attempts;
+  private boolean attemptInFlight;
+  private boolean possiblyExecuted;
+  private long firstExecutionNanos;
+  private boolean responded;
+  private Future<?> overdueTimer;
 
   /**
-   * Whether an attempt has ended in a way that does not prove that it never ran, and when the first
-   * of these began.
+   * Takes over a request.
+   *
+   * @param idempotencyKey null if there is none
+   * @param body owned by this request from now on
    */
-  boolean mayHaveRun;
-
-  long firstMayHaveRunAt;
-  public boolean answered;
-  public Future<?> overdue;
-
-  /** Takes over the body. */
   public OpenRequest(
-      ClientRequest request,
+      ClientRequest clientRequest,
       HttpMethod method,
       String uri,
-      String key,
+      String idempotencyKey,
       ByteBuf body,
-      Answers answers) {
-    this.request = request;
+      ResponseSink responseSink) {
+    this.clientRequest = clientRequest;
     this.method = method;
     this.uri = uri;
-    this.key = key;
+    this.idempotencyKey = idempotencyKey;
     this.body = body;
-    this.answers = answers;
+    this.responseSink = responseSink;
+  }
+
+  /** The request as the gateway knows it. */
+  public ClientRequest clientRequest() {
+    return clientRequest;
+  }
+
+  /** The id of the request. */
+  public String id() {
+    return clientRequest.id();
+  }
+
+  /** The HTTP method that it is forwarded with. */
+  public HttpMethod method() {
+    return method;
+  }
+
+  /** Path and query that it is forwarded with. */
+  public String uri() {
+    return uri;
+  }
+
+  /** The idempotency key; null if there is none. */
+  public String idempotencyKey() {
+    return idempotencyKey;
+  }
+
+  /** The body, which stays owned by this request. */
+  public ByteBuf body() {
+    return body;
+  }
+
+  /** How many attempts were started. */
+  public int attempts() {
+    return attempts;
+  }
+
+  /** Whether an attempt has been started and has not ended. */
+  public boolean isAttemptInFlight() {
+    return attemptInFlight;
+  }
+
+  /** Notes that an attempt starts. */
+  public void startAttempt() {
+    attempts++;
+    attemptInFlight = true;
+  }
+
+  /**
+   * Notes that the attempt in flight ended.
+   *
+   * @param startedAtNanos when it was started, by the gateway's clock
+   */
+  public void endAttempt(Outcome outcome, long startedAtNanos) {
+    attemptInFlight = false;
+    if (!outcome.provesNotExecuted() && !possiblyExecuted) {
+      possiblyExecuted = true;
+      firstExecutionNanos = startedAtNanos;
+    }
+  }
+
+  /** Whether an attempt has ended that may have been executed. */
+  boolean isPossiblyExecuted() {
+    return possiblyExecuted;
+  }
+
+  /** When the first attempt that may have been executed was started, by the gateway's clock. */
+  long firstExecutionNanos() {
+    return firstExecutionNanos;
+  }
+
+  /** Whether nothing more is owed to the client. */
+  public boolean isResponded() {
+    return responded;
   }
 
   /**
-   * Whether an attempt may begin now: nobody waits for one whose client has left, seen or unseen.
+   * Whether the client still waits for a response, as far as can be known. Reads its connection.
    */
-  public boolean awaited() {
-    return !answered && !answers.hasLeft();
+  public boolean isAwaited() {
+    return !responded && !responseSink.readAndCheckDisconnected();
   }
 
-  /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
-  public Answers answerOnce() {
-    if (answered) {
+  /**
+   * Returns where the final response goes, and marks the request as responded; null if it was so
+   * before, since a request has one final response.
+   */
+  public ResponseSink takeResponseSink() {
+    if (responded) {
       return null;
     }
-    answered = true;
-    return answers;
+    responded = true;
+    return responseSink;
+  }
+
+  /** Sets the timer that ends the request if its response is overdue. */
+  public void setOverdueTimer(Future<?> timer) {
+    overdueTimer = timer;
+  }
+
+  /** Releases body and timer; the request must not be used any more. */
+  public void release() {
+    overdueTimer.cancel(false);
+    body.release();
   }
 }
--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -36,7 +36,7 @@
   }
 
   String requestId() {
-    return request.request.id();
+    return request.id();
   }
 
   String endpointId() {
@@ -58,7 +58,7 @@
 
   /** Whether the client still waits for the response, as far as can be known. */
   boolean isAwaited() {
-    return request.awaited();
+    return request.isAwaited();
   }
 
   void scheduleTimeout(EventLoop loop) {
@@ -121,18 +121,21 @@
   FullHttpRequest toHttpRequest() {
     FullHttpRequest message =
         new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1, request.method, request.uri, request.body.retainedDuplicate());
+            HttpVersion.HTTP_1_1,
+            request.method(),
+            request.uri(),
+            request.body().retainedDuplicate());
     long leftMillis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - elapsedNanos());
     message
         .headers()
         .set(HttpHeaderNames.HOST, EndpointProtocol.SERVICE_HOST)
         .set(EndpointProtocol.REQUEST_ID, requestId())
         .set(EndpointProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
-    if (request.key != null) {
-      message.headers().set(EndpointProtocol.IDEMPOTENCY_KEY, request.key);
+    if (request.idempotencyKey() != null) {
+      message.headers().set(EndpointProtocol.IDEMPOTENCY_KEY, request.idempotencyKey());
     }
-    if (request.body.isReadable()) {
-      message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body.readableBytes());
+    if (request.body().isReadable()) {
+      message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().readableBytes());
     }
     return message;
   }
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -43,6 +43,7 @@
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
 import merlinrouter.node.upstream.EndpointProtocol;
@@ -101,7 +102,7 @@
     try (WarmUp rehearsal = new WarmUp(config, requests, parent)) {
       return rehearsal.play(span);
     } catch (Exception e) {
-      EdgeNode.trouble("no rehearsal", e);
+      ErrorLog.report("no rehearsal", e);
       return 0;
     }
   }
--- a/src/test/java/merlinrouter/ArchitectureTest.java
+++ b/src/test/java/merlinrouter/ArchitectureTest.java
@@ -56,4 +56,23 @@
         .resideInAPackage("merlinrouter.gateway..")
         .check(classes);
   }
+
+  @ArchTest
+  void packagesOfTheNodeAreFreeOfCycles(JavaClasses classes) {
+    slices().matching("merlinrouter.node.(*)..").should().beFreeOfCycles().check(classes);
+  }
+
+  /** The warm-up runs a node of its own, so it stands above the node. */
+  @ArchTest
+  void packagesOfTheNodeDoNotDependOnItsHost(JavaClasses classes) {
+    noClasses()
+        .that()
+        .resideInAPackage("merlinrouter.node.*..")
+        .and()
+        .resideOutsideOfPackage("merlinrouter.node.warmup..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAPackage("merlinrouter.node")
+        .check(classes);
+  }
 }
--- a/src/test/java/merlinrouter/node/RaceConditionTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -27,6 +27,7 @@
 import merlinrouter.model.ClientRequest;
 import merlinrouter.node.config.NodeConfigReader;
 import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.request.ResponseSink;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -137,14 +138,14 @@
             "/api",
             "key-" + id,
             Unpooled.EMPTY_BUFFER,
-            new OpenRequest.Answers() {
+            new ResponseSink() {
               @Override
               public void served(ByteBuf body) {
                 answer.complete(body.toString(StandardCharsets.UTF_8));
               }
 
               @Override
-              public void refused(long retryAfter) {
+              public void rejected(long retryAfter) {
                 answer.complete("refused");
               }
 
@@ -154,7 +155,7 @@
               }
 
               @Override
-              public boolean hasLeft() {
+              public boolean readAndCheckDisconnected() {
                 return false;
               }
             }));
