--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -146,7 +146,7 @@
   private void housekeeping() {
     long now = System.nanoTime();
     if (now - lastHousekeeping > CLOCK_LOOK + LOOP_HELD) {
-      log.count(NodeLog.Event.LOOP_HELD);
+      log.count(NodeLog.Event.EVENT_LOOP_STALLED);
     }
     lastHousekeeping = now;
     lookAtClocks();
@@ -362,7 +362,7 @@
   @Override
   public void clientDisconnected(OpenRequest gone) {
     if (gone.answerOnce() != null) {
-      log.count(NodeLog.Event.CLIENT_LEFT);
+      log.count(NodeLog.Event.CLIENT_DISCONNECTED);
       settle(gone);
       event(gone, now -> gateway.clientDisconnected(now, gone.request.id()));
     }
@@ -424,7 +424,7 @@
       fail(of);
     }
     if (of != null && of.answered) {
-      log.count(NodeLog.Event.ATTEMPT_WITHHELD);
+      log.count(NodeLog.Event.ATTEMPT_SKIPPED);
     }
     if (of == null || of.answered || !guard.maySend(of, classOf(of), now())) {
       // It may not go out, but the module counts it as out until it hears how it ended.
@@ -452,7 +452,7 @@
     OpenRequest of = open.get(id);
     OpenRequest.Answers answers = of == null ? null : of.answerOnce();
     if (answers != null) {
-      log.count(NodeLog.Event.REFUSED);
+      log.count(NodeLog.Event.REJECTED);
       answers.refused(retryAfter);
       settle(of);
     }
--- a/src/main/java/merlinrouter/node/logging/NodeLog.java
+++ b/src/main/java/merlinrouter/node/logging/NodeLog.java
@@ -2,55 +2,56 @@
 
 import java.util.EnumMap;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 
 /**
- * What a node tells its operators: counts of what happened, one line at a time while they grow, and
- * a line for each event that needs its request's id. Used on the event loop only.
+ * The node's log on standard output: counts of events, written as one line while they grow, and a
+ * line for each event that needs its request's id. Used on the event loop only.
  */
 public final class NodeLog {
-  /** What is counted. */
+  /** The counted events; their names stand in the log. */
   public enum Event {
     /** An accept failed in this process. */
     ACCEPT_FAILED,
     /** A socket could not be made or bound in this process; nothing was sent to any peer. */
     LOCAL_CONNECT_FAILED,
-    /** A request's client left before its answer. */
-    CLIENT_LEFT,
-    /** An attempt was not begun since its client had left. */
-    ATTEMPT_WITHHELD,
+    /** A request's client disconnected before its response. */
+    CLIENT_DISCONNECTED,
+    /** An attempt was not begun since its client had disconnected. */
+    ATTEMPT_SKIPPED,
     /** A second or later attempt of a request began. */
     RETRIED,
-    /** A request was refused, with a promise that it had no effect. */
-    REFUSED,
-    /** A request was failed, with no such promise. */
+    /** A request was rejected: it is certain that it had no effect. */
+    REJECTED,
+    /** A request failed: it may have had an effect. */
     FAILED,
-    /** A client's connection was ended between requests. */
+    /** A client's connection was closed between requests. */
     IDLE_CLOSED,
-    /** What a client sent was no request. */
+    /** A client sent something that is not a valid request. */
     BAD_REQUEST,
-    /** An answer that a server began could not be used. */
-    SPOILT_ANSWER,
-    /** A request had no final answer when its time was up. */
+    /** An endpoint began a response that is malformed. */
+    MALFORMED_RESPONSE,
+    /** A request had no final response at its deadline. */
     OVERDUE,
-    /** The event loop was held up for longer than a request can bear. */
-    LOOP_HELD,
+    /** The event loop was stalled for longer than a request can bear. */
+    EVENT_LOOP_STALLED,
     /** The wall clock stepped. */
     CLOCK_STEPPED
   }
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final long INTERVAL = 10 * SECOND;
+  private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** Lines with an id in one interval; the counts tell of the others. */
-  private static final int MOST_LINES = 20;
+  /** Bounds the output under a burst of events; the counts cover the others. */
+  private static final int MAX_REQUEST_LINES_PER_INTERVAL = 20;
 
   private final boolean silent;
   private final Map<Event, Long> counts = new EnumMap<>(Event.class);
   private long violations;
-  private int lines;
+  private int requestLines;
   private boolean changed;
-  private long intervalBegan = System.nanoTime();
+  private long intervalStartedAtNanos = System.nanoTime();
 
+  /** Creates a log that writes to standard output. */
   public NodeLog() {
     this(false);
   }
@@ -59,7 +60,7 @@
     this.silent = silent;
   }
 
-  /** A log that only counts, for a node that no client sees. */
+  /** Returns a log that writes nothing, for a node that serves no clients. */
   public static NodeLog silent() {
     return new NodeLog(true);
   }
@@ -77,45 +78,36 @@
     changed = true;
   }
 
-  /** How often an event was counted. */
-  long counted(Event event) {
-    return counts.getOrDefault(event, 0L);
-  }
-
   /**
-   * Counts an event of a request and, while lines are left in this interval, says why it happened.
+   * Counts an event of a request, and writes a line about it unless this interval already has its
+   * maximum of such lines.
    */
-  public void request(Event event, String id, String why) {
+  public void request(Event event, String requestId, String reason) {
     count(event);
-    boundedLine("request " + id + " " + event + ": " + why);
+    if (requestLines < MAX_REQUEST_LINES_PER_INTERVAL) {
+      line("request " + requestId + " " + event + ": " + reason);
+    }
+    requestLines++;
   }
 
-  /** Counts a broken invariant; the action that would break it was not carried out. */
-  public void violation(String id, String invariant) {
+  /** Counts and reports an action that was not carried out since it would break an invariant. */
+  public void violation(String requestId, String invariant) {
     violations++;
     changed = true;
-    line("invariant violated: request " + id + ": " + invariant);
-  }
-
-  /** How many invariants would have been broken. */
-  long violations() {
-    return violations;
+    line("invariant violated: request " + requestId + ": " + invariant);
   }
 
-  private void boundedLine(String text) {
-    if (lines++ < MOST_LINES) {
-      line(text);
-    }
-  }
-
-  /** Called often: writes the counts when an interval is over and something has changed in it. */
+  /**
+   * Writes the counts if an interval has passed and any has changed since they were last written.
+   * To be called several times an interval.
+   */
   public void tick() {
-    long now = System.nanoTime();
-    if (now - intervalBegan < INTERVAL) {
+    long nowNanos = System.nanoTime();
+    if (nowNanos - intervalStartedAtNanos < INTERVAL_NANOS) {
       return;
     }
-    intervalBegan = now;
-    lines = 0;
+    intervalStartedAtNanos = nowNanos;
+    requestLines = 0;
     if (changed) {
       changed = false;
       line("counts: " + counts + ", violations=" + violations);
--- a/src/main/java/merlinrouter/node/logging/SingleLineFormatter.java
+++ b/src/main/java/merlinrouter/node/logging/SingleLineFormatter.java
@@ -4,9 +4,9 @@
 import java.util.logging.LogRecord;
 
 /**
- * A library's warning as one line. The platform's own formatter tells the time, and reads the time
- * zones' file for its first line: where that line is that no descriptor is left, it failed with an
- * error that ended the event loop.
+ * Formats a library's warning as one line without a time. The JDK's own formatter opens the time
+ * zone file for its first line; when no file descriptor is left, that throws an error which would
+ * end the event loop.
  */
 public final class SingleLineFormatter extends Formatter {
   @Override
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -103,7 +103,7 @@
   void write(Attempt next) {
     if (!next.isEnded() && !next.isAwaited()) {
       // The client disconnected while the connection was being opened.
-      log.count(NodeLog.Event.ATTEMPT_WITHHELD);
+      log.count(NodeLog.Event.ATTEMPT_SKIPPED);
       next.end(Outcome.NOT_SENT);
     }
     if (next.isEnded()) {
@@ -198,7 +198,8 @@
   protected void connectionFailed() {
     updateCompletionTimeout(false);
     if (attempt != null) {
-      log.request(NodeLog.Event.SPOILT_ANSWER, attempt.requestId(), "by " + attempt.endpointId());
+      log.request(
+          NodeLog.Event.MALFORMED_RESPONSE, attempt.requestId(), "by " + attempt.endpointId());
     }
     if (pool != null) {
       pool.remove(this);
