--- a/src/main/java/merlinrouter/node/EventLoopMonitor.java
+++ b/src/main/java/merlinrouter/node/EventLoopMonitor.java
@@ -31,7 +31,7 @@
   private void run() {
     long nowNanos = System.nanoTime();
     if (nowNanos - lastRunNanos > INTERVAL_NANOS + MAX_STALL_NANOS) {
-      log.count(NodeLog.Event.LOOP_HELD);
+      log.count(NodeLog.Event.EVENT_LOOP_STALLED);
     }
     lastRunNanos = nowNanos;
     regularTask.run();
--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -119,7 +119,7 @@
   /** Notes that the client of an open request disconnected. */
   void clientDisconnected(OpenRequest request) {
     if (request.takeResponseSink() != null) {
-      log.count(NodeLog.Event.CLIENT_LEFT);
+      log.count(NodeLog.Event.CLIENT_DISCONNECTED);
       forgetIfEnded(request);
       deliverOrFail(request, now -> gateway.clientDisconnected(now, request.id()));
     }
@@ -188,7 +188,7 @@
       fail(request);
     }
     if (request != null && request.isResponded()) {
-      log.count(NodeLog.Event.ATTEMPT_WITHHELD);
+      log.count(NodeLog.Event.ATTEMPT_SKIPPED);
     }
     if (request == null || request.isResponded() || !mayStartAttempt(request)) {
       reportNotSent(requestId, endpointId, request == null || request.isResponded());
@@ -222,7 +222,7 @@
     OpenRequest request = openRequests.get(requestId);
     ResponseSink sink = request == null ? null : request.takeResponseSink();
     if (sink != null) {
-      log.count(NodeLog.Event.REFUSED);
+      log.count(NodeLog.Event.REJECTED);
       sink.rejected(retryAfterNanos);
       forgetIfEnded(request);
     }
