--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -21,6 +21,7 @@
 import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.request.ResponseSink;
 
 /**
  * A client connection. It handles one request at a time; pipelined requests wait undecoded until
@@ -169,12 +170,12 @@
     if (receiving && !closing && elapsedNanos > REQUEST_TIMEOUT_NANOS) {
       reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
     } else if ((closing || !receiving) && elapsedNanos > IDLE_TIMEOUT_NANOS) {
-      closeIdle("idle timeout");
+      initiateClose("idle timeout");
     }
   }
 
   @Override
-  public void closeIdle(String reason) {
+  public void initiateClose(String reason) {
     if (handler.guard().mayClose(openRequest, reason)) {
       handler.log().count(NodeLog.Event.IDLE_CLOSED);
       closing = true;
@@ -350,14 +351,14 @@
   }
 
   /** Writes the final response of the open request. */
-  private final class Responder implements OpenRequest.Answers {
+  private final class Responder implements ResponseSink {
     @Override
     public void served(ByteBuf content) {
       respond(HttpResponseStatus.OK, content.retain(), 0);
     }
 
     @Override
-    public void refused(long retryAfterNanos) {
+    public void rejected(long retryAfterNanos) {
       respond(
           retryAfterNanos > 0
               ? HttpResponseStatus.TOO_MANY_REQUESTS
@@ -372,8 +373,8 @@
     }
 
     @Override
-    public boolean hasLeft() {
-      return presence.isDisconnected();
+    public boolean readAndCheckDisconnected() {
+      return presence.readAndCheckDisconnected();
     }
   }
 }
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -43,9 +43,10 @@
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.Transport;
-import merlinrouter.node.upstream.UpstreamPool;
+import merlinrouter.node.upstream.EndpointProtocol;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.QuotaPlan;
 import merlinrouter.settings.RequestClass;
@@ -101,7 +102,7 @@
     try (WarmUp rehearsal = new WarmUp(config, requests, parent)) {
       return rehearsal.play(span);
     } catch (Exception e) {
-      EdgeNode.trouble("no rehearsal", e);
+      ErrorLog.report("no rehearsal", e);
       return 0;
     }
   }
@@ -275,7 +276,7 @@
   /** Asks again as soon as it is answered. */
   private final class Client extends ResponseHandler {
     Client() {
-      super(UpstreamPool.MOST_BODY);
+      super(EndpointProtocol.MAX_BODY_BYTES);
     }
 
     @Override
@@ -318,12 +319,12 @@
     }
 
     @Override
-    protected boolean expectsAnswer() {
+    protected boolean expectsResponse() {
       return true;
     }
 
     @Override
-    protected void answered(HttpResponse answer, ByteBuf body) {
+    protected void responseReceived(HttpResponse answer, ByteBuf body) {
       served += answer.status().equals(HttpResponseStatus.OK) ? 1 : 0;
       if (++answered >= requests && System.nanoTime() - begun > INTERVALS) {
         done.complete(null);
@@ -338,7 +339,7 @@
     }
 
     @Override
-    protected void spoilt() {
+    protected void connectionFailed() {
       done.complete(null);
     }
   }
