--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -32,9 +32,9 @@
   @BeforeEach
   void client() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    toClose.add(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly());
+    resources.add(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly());
     loop = group.next();
-    NodeConfig config = counting(counter);
+    NodeConfig config = configWithCounter(counter);
     client =
         loop.submit(
                 () ->
@@ -51,9 +51,9 @@
             .get();
   }
 
-  private NodeConfig counting(ScriptedServer at) throws Exception {
+  private NodeConfig configWithCounter(ScriptedServer at) throws Exception {
     return NodeConfigReader.parse(
-        config()
+        configJson()
             .replace(counter.address(), at.address())
             .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
   }
@@ -73,13 +73,13 @@
   @Test
   void aLateResponseIsSkipped() throws Exception {
     CompletableFuture<Void> respond = new CompletableFuture<>();
-    counting =
-        m -> {
-          if (counter.seen.size() == 1) {
+    counterScript =
+        request -> {
+          if (counter.received.size() == 1) {
             respond.join();
-            m.answer(ScriptedServer.ok("", "77"));
+            request.respond(ScriptedServer.okResponse("", "77"));
           } else {
-            m.answer(ScriptedServer.ok("", "88"));
+            request.respond(ScriptedServer.okResponse("", "88"));
           }
         };
     add(4, 1.5);
@@ -87,8 +87,8 @@
     add(4, -2.25);
     respond.complete(null);
     assertNextResult("4 OK 88.0");
-    assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
-    assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
+    assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.awaitRequest().startLine());
+    assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.awaitRequest().startLine());
   }
 
   /** Otherwise what follows would pass for the next call's response, or would be waited for. */
@@ -96,24 +96,24 @@
   void aMalformedResponseReplacesTheConnection() throws Exception {
     for (String malformed :
         List.of(
-            ScriptedServer.ok("", "1d"),
-            ScriptedServer.ok("", "0x1p3"),
-            ScriptedServer.ok("", ""),
-            ScriptedServer.ok("", "NaN"),
+            ScriptedServer.okResponse("", "1d"),
+            ScriptedServer.okResponse("", "0x1p3"),
+            ScriptedServer.okResponse("", ""),
+            ScriptedServer.okResponse("", "NaN"),
             "noise",
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\n1",
             "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n1",
             "HTTP/1.1 200 OK\r\n\r\n1",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")) {
-      counting = m -> m.answer(malformed);
+      counterScript = request -> request.respond(malformed);
       add(4, 1);
       assertNextResult("4 RESET 0.0");
-      ScriptedServer.Message first = counter.next();
-      counting = m -> m.answer(ScriptedServer.ok("", "5"));
+      ScriptedServer.Message first = counter.awaitRequest();
+      counterScript = request -> request.respond(ScriptedServer.okResponse("", "5"));
       add(4, 1);
       assertNextResult("4 OK 5.0");
-      assertNotSame(first.socket(), counter.next().socket(), malformed);
+      assertNotSame(first.connection(), counter.awaitRequest().connection(), malformed);
     }
   }
 
@@ -121,15 +121,15 @@
   @Test
   void aMoveKeepsTheOrderOfACountersCalls() throws Exception {
     CompletableFuture<Void> respond = new CompletableFuture<>();
-    counting =
-        m -> {
+    counterScript =
+        request -> {
           respond.join();
-          m.answer(ScriptedServer.ok("", "1"));
+          request.respond(ScriptedServer.okResponse("", "1"));
         };
-    ScriptedServer newCounter = peer(m -> m.answer(ScriptedServer.ok("", "2")));
+    ScriptedServer newCounter = startOkServer("2");
     add(4, 1);
-    counter.next();
-    NodeConfig moved = counting(newCounter);
+    counter.awaitRequest();
+    NodeConfig moved = configWithCounter(newCounter);
     loop.submit(() -> client.move(moved.counter())).get();
     add(4, 1);
     add(8, 1);
@@ -138,14 +138,15 @@
     assertNextResult("4 OK 2.0");
     assertNextResult("8 OK 2.0");
     assertNotNull(
-        counter.ended.poll(60, TimeUnit.SECONDS), "the previous connection must be closed");
-    assertTrue(counter.seen.isEmpty(), "calls after the move must go to the new address");
+        counter.endedConnections.poll(60, TimeUnit.SECONDS),
+        "the previous connection must be closed");
+    assertTrue(counter.received.isEmpty(), "calls after the move must go to the new address");
   }
 
   /** Too many calls without a response end in their order, ahead of the call that is added. */
   @Test
   void atTheMaximumOfOpenCallsTheyEndInOrder() throws Exception {
-    counting = m -> {};
+    counterScript = request -> {};
     for (int i = 0; i < 300; i++) {
       add(4L * i, 1);
     }
--- a/src/test/java/merlinrouter/node/DeploymentTest.java
+++ b/src/test/java/merlinrouter/node/DeploymentTest.java
@@ -6,7 +6,6 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
-import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -52,22 +51,22 @@
   @Test
   void aHangUpIsHeardThoughTheNodeWasStartedToIgnoreIt() throws Exception {
     Path file = folder.resolve("config.json");
-    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
-    String config = config();
+    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    String config = configJson();
     Files.writeString(file, config);
     ProcessBuilder builder =
         new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; " + run()).redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     Process process = builder.start();
-    toClose.add(process::destroyForcibly);
+    resources.add(process::destroyForcibly);
     BufferedReader said =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     ReloadTest.await(said, "serving on");
-    discovery.next();
+    discovery.awaitRequest();
     Files.writeString(file, config.replace(discovery.address(), elsewhere.address()));
     ReloadTest.hangUp(process);
-    elsewhere.next();
+    elsewhere.awaitRequest();
     assertEquals(0, process.descendants().count(), "one process, which began no other");
     process.destroy();
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
@@ -82,13 +81,13 @@
   void aHangUpWhileTheFileIsReadHasItReadAgain() throws Exception {
     Path file = folder.resolve("config.pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
-    String config = config();
+    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    String config = configJson();
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run()).redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     Process process = builder.start();
-    toClose.add(process::destroyForcibly);
+    resources.add(process::destroyForcibly);
     BufferedReader said =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     Files.writeString(file, config);
@@ -104,7 +103,7 @@
       Files.move(changed, file, StandardCopyOption.ATOMIC_MOVE);
       writing.write(config.getBytes(StandardCharsets.UTF_8));
     }
-    elsewhere.next();
+    elsewhere.awaitRequest();
     process.destroy();
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
   }
@@ -116,27 +115,23 @@
           i == FLEET - 1 ? last.address() : "127.1." + i / 250 + "." + (1 + i % 250) + ":8081";
       members
           .append(i > from ? "," : "")
-          .append(member("a-server-of-a-large-fleet-" + i, address, phase, 0));
+          .append(endpointJson("a-server-of-a-large-fleet-" + i, address, phase, 0));
     }
     return members.toString();
   }
 
-  private static String chunk(String text) {
-    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-  }
-
   /**
    * As many as no cap may fall under, beside 119 other nodes: known, told at full length and taken
    * away again.
    */
   @Test
   void aFleetOf1024ServersAnd120NodesFitsWhatRunGivesIt() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     Path file = folder.resolve("config.json");
     discovery =
-        peer(
-            m -> {
-              m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        startServer(
+            request -> {
+              request.respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
               String whole =
                   new ObjectMapper()
                       .readTree(
@@ -146,77 +141,73 @@
                       .toPrettyString()
                       .replace("\n", "\n        ");
               for (int at = 0; at < whole.length(); at += 4_096) {
-                m.answer(chunk(whole.substring(at, Math.min(whole.length(), at + 4_096))));
+                request.respond(
+                    ScriptedServer.chunk(
+                        whole.substring(at, Math.min(whole.length(), at + 4_096))));
               }
-              m.answer(
-                  chunk(
+              request.respond(
+                  ScriptedServer.chunk(
                       "\n{\"revision\":7,\"complete\":false,\"members\":["
                           + each(0, FLEET - 1, "Gone", server)
                           + "]}\n"));
             });
     Files.writeString(
         file,
-        config(each(0, FLEET, "Ready", server)).replace("\"siblings\": 2", "\"siblings\": 120"));
+        configJson(each(0, FLEET, "Ready", server))
+            .replace("\"siblings\": 2", "\"siblings\": 120"));
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run()).redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     Process process = builder.start();
-    toClose.add(process::destroyForcibly);
+    resources.add(process::destroyForcibly);
     BufferedReader said =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     String[] at = ReloadTest.await(said, "serving on").replaceAll(".*/", "").split(":");
     Socket client = new Socket(at[0], Integer.parseInt(at[1]));
-    toClose.add(client);
+    resources.add(client);
     // Only who has read both lists to their ends knows that none but the last server is left.
     String status = "";
     for (int i = 0; i < 1_000 && !status.equals("200"); i++) {
-      status = ask(client, "f-" + i);
+      status = requestStatus(client, "f-" + i);
     }
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", ask(client, "g-" + i));
+      assertEquals("200", requestStatus(client, "g-" + i));
     }
   }
 
-  private static Socket connect(InetSocketAddress node) throws IOException {
-    Socket socket = new Socket();
-    socket.setSoTimeout(60_000);
-    socket.connect(node, 60_000);
-    return socket;
-  }
-
   /**
    * Idle clients come as long as discovery is down; what the node needs for itself is not theirs to
    * take.
    */
   @Test
   void idleClientsThatFillTheDescriptorsLeaveRoomForListCounterAndServers() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     CompletableFuture<Void> back = new CompletableFuture<>();
     CompletableFuture<Void> asked = new CompletableFuture<>();
-    counting =
-        m -> {
+    counterScript =
+        request -> {
           asked.complete(null);
-          m.answer(ScriptedServer.ok("", "1"));
+          request.respond(ScriptedServer.okResponse("", "1"));
         };
     discovery =
-        peer(
-            m -> {
+        startServer(
+            request -> {
               back.join();
-              m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-              m.answer(
-                  chunk(
+              request.respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+              request.respond(
+                  ScriptedServer.chunk(
                       "{\"revision\":6,\"complete\":true,\"members\":["
-                          + member("s-1", server.address(), "Ready", 0)
+                          + readyEndpointJson("s-1", server.address())
                           + "]}\n"));
             });
     Path file = folder.resolve("config.json");
-    Files.writeString(file, config().replace("\"sockets\": 1024", "\"sockets\": 256"));
+    Files.writeString(file, configJson().replace("\"sockets\": 1024", "\"sockets\": 256"));
     ProcessBuilder builder =
         new ProcessBuilder("/bin/sh", "-c", "ulimit -n 256; " + run()).redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     Process process = builder.start();
-    toClose.add(process::destroyForcibly);
+    resources.add(process::destroyForcibly);
     // A node that hangs is ended, so that what waits for its word fails.
     CompletableFuture.delayedExecutor(90, TimeUnit.SECONDS).execute(process::destroyForcibly);
     BufferedReader said =
@@ -237,19 +228,19 @@
     reading.start();
     InetSocketAddress node = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
     for (int i = 0; i < 400; i++) {
-      toClose.add(connect(node));
+      resources.add(connect(node));
     }
     back.complete(null);
     String status = "";
     for (int i = 0; !status.equals("200"); i++) {
       // Each on a connection of its own, beside one more idle one.
-      toClose.add(connect(node));
+      resources.add(connect(node));
       Socket usual = connect(node);
-      toClose.add(usual);
-      Map<String, String> headers = headers("u-" + i, "order", "20000");
+      resources.add(usual);
+      Map<String, String> headers = requestHeaders("u-" + i, "order", "20000");
       headers.put("X-Quota", "units=1,spread=2,first=0");
-      write(usual, "POST /api", headers, "book");
-      status = status(ScriptedServer.read(usual));
+      writeRequest(usual, "POST /api", headers, "book");
+      status = readStatus(usual);
     }
     asked.get();
     synchronized (lines) {
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -18,39 +18,29 @@
  */
 @Timeout(120)
 class DiscoveryWatchTest extends NodeFixture {
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-  private static String chunk(String text) {
-    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-  }
-
-  private static String delta(int revision, String entries) {
-    return "{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + entries + "]}";
-  }
-
   /** Waits until a request is served, by an endpoint that only the watch can have listed. */
   private void awaitServed(EdgeNode node) throws Exception {
-    Socket client = client(node);
+    Socket client = connect(node);
     String status = "";
     for (int i = 0; !status.equals("200"); i++) {
-      status = ask(client, "w-" + i);
+      status = requestStatus(client, "w-" + i);
     }
   }
 
   /** What a silent watch misses counts as delivered 6 s after it fell silent. */
   @Test
   void aSilentWatchIsReplacedBeforeMissedUpdatesCountAsDelivered() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     AtomicInteger watches = new AtomicInteger();
     discovery =
-        peer(
-            m -> {
+        startServer(
+            request -> {
               if (watches.getAndIncrement() == 0) {
-                m.answer(
-                    HEAD + chunk(delta(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
+                request.respond(
+                    watchResponse(updateJson(6, readyEndpointJson("s-1", server.address()))));
               }
             });
-    EdgeNode node = start(config());
+    EdgeNode node = startNode(configJson());
     awaitServed(node);
     int openedBefore = node.loop().submit(() -> node.discovery().openedWatches()).get();
     assertTrue(
@@ -70,25 +60,25 @@
    */
   @Test
   void anotherWatchIsOpenedBesideAnUnansweredOne() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     AtomicInteger watches = new AtomicInteger();
     CompletableFuture<Void> discoveryBack = new CompletableFuture<>();
     discovery =
-        peer(
-            m -> {
+        startServer(
+            request -> {
               if (watches.getAndIncrement() > 0) {
                 discoveryBack.join();
-                m.answer(
-                    HEAD + chunk(delta(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
+                request.respond(
+                    watchResponse(updateJson(6, readyEndpointJson("s-1", server.address()))));
               }
             });
-    EdgeNode node = start(config());
-    discovery.next();
-    discovery.next();
-    assertTrue(discovery.ended.isEmpty(), "the unanswered one may be answered yet");
+    EdgeNode node = startNode(configJson());
+    discovery.awaitRequest();
+    discovery.awaitRequest();
+    assertTrue(discovery.endedConnections.isEmpty(), "the unanswered one may be answered yet");
     discoveryBack.complete(null);
     awaitServed(node);
-    discovery.ended.take();
+    discovery.endedConnections.take();
     assertEquals(
         1,
         node.loop().submit(() -> node.discovery().openWatches()).get(),
@@ -98,10 +88,10 @@
   /** The backoff must stay below the second that draining allows: the agent answers at once. */
   @Test
   void afterManyFailuresAWatchIsReopenedWithinTheDrainingSecond() throws Exception {
-    discovery = peer(m -> m.socket().close());
-    EdgeNode node = start(config());
+    discovery = startServer(request -> request.connection().close());
+    EdgeNode node = startNode(configJson());
     for (int i = 0; i < 5; i++) {
-      discovery.next();
+      discovery.awaitRequest();
     }
     int[] openedBefore = new int[1];
     CompletableFuture<Void> noneOpen = new CompletableFuture<>();
@@ -132,25 +122,26 @@
    */
   @Test
   void aSubscribedListIsPolledWithin6SecondsThoughWatchesFailAndFallSilent() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     AtomicInteger watches = new AtomicInteger();
     CompletableFuture<Void> silent = new CompletableFuture<>();
     discovery =
-        peer(
-            m -> {
+        startServer(
+            request -> {
               int watch = watches.getAndIncrement();
               if (watch < 6) {
-                m.socket().close();
+                request.connection().close();
               } else if (watch == 6) {
-                m.answer(HEAD + chunk("\n"));
+                request.respond(UNCHANGED_LIST);
                 silent.complete(null);
               } else if (watch > 7) {
-                m.answer(
-                    HEAD + chunk(delta(6, member("s-1", server.address(), "Ready", 0)) + "\n"));
+                request.respond(
+                    watchResponse(updateJson(6, readyEndpointJson("s-1", server.address()))));
               }
             });
     EdgeNode node =
-        start(config().replace("\"discovery\": \"automatic\"", "\"discovery\": \"subscribe\""));
+        startNode(
+            configJson().replace("\"discovery\": \"automatic\"", "\"discovery\": \"subscribe\""));
     silent.get();
     assertTrue(
         node.loop().schedule(() -> node.discovery().openedWatches() > 8, 6, TimeUnit.SECONDS).get(),
@@ -160,17 +151,22 @@
 
   @Test
   void aListMayBeIndented() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     String list =
-        delta(6, member("s-1", server.address(), "Ready", 0))
+        updateJson(6, readyEndpointJson("s-1", server.address()))
                 .replace(",", ",\n  ")
                 .replace("{", "{\n  ")
             + "\n";
     discovery =
-        peer(m -> m.answer(HEAD + chunk(list.substring(0, 20)) + chunk(list.substring(20))));
-    EdgeNode node = start(config());
+        startServer(
+            request ->
+                request.respond(
+                    ScriptedServer.CHUNKED_RESPONSE_HEAD
+                        + ScriptedServer.chunk(list.substring(0, 20))
+                        + ScriptedServer.chunk(list.substring(20))));
+    EdgeNode node = startNode(configJson());
     awaitServed(node);
-    assertEquals(1, discovery.seen.size(), "the watch was closed because of it");
+    assertEquals(1, discovery.received.size(), "the watch was closed because of it");
   }
 
   /**
@@ -179,9 +175,9 @@
    */
   @Test
   void anIncompleteOrMalformedListIsPolledAgainAndThePreviousOneStays() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     String incomplete = "{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"s-";
-    for (String sent :
+    for (String invalid :
         new String[] {
           incomplete,
           incomplete + "\n\n\n",
@@ -190,11 +186,15 @@
           "{}{\n",
           "no list\n"
         }) {
-      discovery = peer(m -> m.answer(HEAD + chunk(sent)));
-      EdgeNode node = node(server);
-      discovery.next();
-      assertTrue(discovery.next().first().contains("after=5"), sent);
-      assertEquals("200", ask(client(node), "t-1"), sent);
+      discovery =
+          startServer(
+              request ->
+                  request.respond(
+                      ScriptedServer.CHUNKED_RESPONSE_HEAD + ScriptedServer.chunk(invalid)));
+      EdgeNode node = startNode(server);
+      discovery.awaitRequest();
+      assertTrue(discovery.awaitRequest().startLine().contains("after=5"), invalid);
+      assertEquals("200", requestStatus(connect(node), "t-1"), invalid);
     }
   }
 
@@ -202,45 +202,45 @@
   @Test
   void anIncompleteListFollowedByMoreLinesIsPolledAgain() throws Exception {
     discovery =
-        peer(
-            m -> {
-              m.answer(HEAD + chunk("{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"s-"));
+        startServer(
+            request -> {
+              request.respond(
+                  ScriptedServer.CHUNKED_RESPONSE_HEAD
+                      + ScriptedServer.chunk(
+                          "{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"s-"));
               while (true) {
-                m.answer(chunk("\n"));
+                request.respond(ScriptedServer.chunk("\n"));
                 Thread.sleep(200);
               }
             });
-    start(config());
-    discovery.next();
-    assertTrue(discovery.next().first().contains("after=5"));
+    startNode(configJson());
+    discovery.awaitRequest();
+    assertTrue(discovery.awaitRequest().startLine().contains("after=5"));
   }
 
   /** After a move the previous watch is not read: its lists may be older than the new one's. */
   @Test
   void afterAMoveOnlyTheNewWatchIsRead() throws Exception {
-    ScriptedServer removed = peer(m -> m.answer(ScriptedServer.ok("", "removed")));
-    ScriptedServer added = peer(m -> m.answer(ScriptedServer.ok("", "added")));
+    ScriptedServer removed = startOkServer("removed");
+    ScriptedServer added = startOkServer("added");
     CompletableFuture<ScriptedServer.Message> opened = new CompletableFuture<>();
     discovery =
-        peer(
-            m -> {
-              m.answer(HEAD + chunk("\n"));
-              opened.complete(m);
+        startServer(
+            request -> {
+              request.respond(UNCHANGED_LIST);
+              opened.complete(request);
             });
-    String config = config(member("s-0", removed.address(), "Ready", 0));
-    EdgeNode node = start(config);
+    String config = configJson(readyEndpointJson("s-0", removed.address()));
+    EdgeNode node = startNode(config);
     ScriptedServer newDiscovery =
-        peer(
-            m ->
-                m.answer(
-                    HEAD
-                        + chunk(
-                            delta(
-                                    9,
-                                    member("s-0", removed.address(), "Gone", 0)
-                                        + ","
-                                        + member("s-1", added.address(), "Ready", 0))
-                                + "\n")));
+        startServer(
+            request ->
+                request.respond(
+                    watchResponse(
+                        updateJson(
+                            9,
+                            endpointJson("s-0", removed.address(), "Gone", 0),
+                            readyEndpointJson("s-1", added.address())))));
     ScriptedServer.Message watch = opened.get();
     node.loop()
         .submit(
@@ -249,21 +249,23 @@
                   NodeConfigReader.parse(
                       config.replace(discovery.address(), newDiscovery.address())));
               // Written while the event loop is busy: the node reads it after the move.
-              watch.answer(chunk(delta(8, member("s-2", removed.address(), "Ready", 0)) + "\n"));
+              watch.respond(
+                  ScriptedServer.chunk(
+                      updateJson(8, readyEndpointJson("s-2", removed.address())) + "\n"));
               return null;
             })
         .get();
-    newDiscovery.next();
-    discovery.ended.take();
-    Socket client = client(node);
+    newDiscovery.awaitRequest();
+    discovery.endedConnections.take();
+    Socket client = connect(node);
     String body = "";
     for (int i = 0; !body.equals("added"); i++) {
-      order(client, "m-" + i);
-      body = ScriptedServer.read(client).body();
+      writeKeyedRequest(client, "m-" + i);
+      body = ScriptedServer.readMessage(client).body();
     }
     for (int i = 0; i < 8; i++) {
-      order(client, "n-" + i);
-      assertEquals("added", ScriptedServer.read(client).body());
+      writeKeyedRequest(client, "n-" + i);
+      assertEquals("added", ScriptedServer.readMessage(client).body());
     }
   }
 }
--- a/src/test/java/merlinrouter/node/EndpointListTest.java
+++ b/src/test/java/merlinrouter/node/EndpointListTest.java
@@ -16,99 +16,91 @@
 class EndpointListTest extends NodeFixture {
   @Test
   void watchThatEndsResumesAfterItsLastRevision() throws Exception {
-    ScriptedServer moved = peer(m -> m.answer(ScriptedServer.ok("", "new")));
-    ScriptedServer old = peer(m -> m.answer(ScriptedServer.ok("", "old")));
-    String line =
-        "{\"revision\":8,\"complete\":false,\"members\":["
-            + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000)
-            + "]}\n";
+    ScriptedServer moved = startOkServer("new");
+    ScriptedServer old = startOkServer("old");
+    String update =
+        updateJson(
+            8, endpointJson("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000));
     CompletableFuture<Void> proceed = new CompletableFuture<>();
     discovery =
-        peer(
-            m -> {
-              if (m.first().contains("after=5")) {
+        startServer(
+            request -> {
+              if (request.startLine().contains("after=5")) {
                 proceed.join();
-                m.answer(
-                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(line.length())
-                        + "\r\n"
-                        + line
-                        + "\r\n0\r\n\r\n");
+                request.respond(watchResponse(update) + "0\r\n\r\n");
               }
             });
-    EdgeNode node = node(old);
-    Socket client = client(node);
-    order(client, "t-1");
-    assertEquals("old", ScriptedServer.read(client).body());
+    EdgeNode node = startNode(old);
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    assertEquals("old", ScriptedServer.readMessage(client).body());
     proceed.complete(null);
-    assertTrue(discovery.next().first().contains("watch=1&after=5"));
-    assertTrue(discovery.next().first().contains("watch=1&after=8"));
+    assertTrue(discovery.awaitRequest().startLine().contains("watch=1&after=5"));
+    assertTrue(discovery.awaitRequest().startLine().contains("watch=1&after=8"));
     // The endpoint restarted elsewhere: the connection to its old address closes.
-    assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
-    order(client, "t-2");
-    assertEquals("new", ScriptedServer.read(client).body());
+    assertNotNull(old.endedConnections.poll(60, TimeUnit.SECONDS));
+    writeKeyedRequest(client, "t-2");
+    assertEquals("new", ScriptedServer.readMessage(client).body());
   }
 
   /** Under its predecessor's id, a new endpoint would get requests after it announced its drain. */
   @Test
   void addressBelongsToTheEndpointThatStartedThereLast() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     List<CompletableFuture<Void>> proceed =
         List.of(new CompletableFuture<>(), new CompletableFuture<>());
     discovery =
-        peer(
-            m -> {
-              StringBuilder head =
-                  new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        startServer(
+            request -> {
               for (int i = 0; i < 2; i++) {
                 proceed.get(i).join();
-                String line =
-                    "{\"revision\":"
-                        + (8 + i)
-                        + ",\"complete\":false,\"members\":["
-                        + member(
+                String update =
+                    updateJson(
+                        8 + i,
+                        endpointJson(
                             "s-1",
                             server.address(),
                             i == 0 ? "Ready" : "Terminating",
-                            System.currentTimeMillis() - 60_000)
-                        + "]}\n";
-                m.answer(head + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-                head.setLength(0);
+                            System.currentTimeMillis() - 60_000));
+                request.respond(
+                    i == 0 ? watchResponse(update) : ScriptedServer.chunk(update + "\n"));
               }
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     for (int i = 0; i < 2; i++) {
-      assertEquals("200", ask(client(node), "t-" + i));
-      server.next();
+      assertEquals("200", requestStatus(connect(node), "t-" + i));
+      server.awaitRequest();
       proceed.get(i).complete(null);
       assertNotNull(
-          server.ended.poll(60, TimeUnit.SECONDS), "connections to a former endpoint must close");
+          server.endedConnections.poll(60, TimeUnit.SECONDS),
+          "connections to a former endpoint must close");
     }
-    Socket client = client(node);
-    write(client, "POST /api", headers("t-2", "order", "1500"), "");
-    ScriptedServer.Message rejection = ScriptedServer.read(client);
+    Socket client = connect(node);
+    writeRequest(client, "POST /api", requestHeaders("t-2", "order", "1500"), "");
+    ScriptedServer.Message rejection = ScriptedServer.readMessage(client);
     assertEquals("429", status(rejection));
     double retryAfter = Double.parseDouble(rejection.headers().get("retry-after"));
     assertTrue(
         retryAfter > 0 && retryAfter <= 0.5,
         "Retry-After must be there, and no longer than a client waits");
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   /** A close does not stop the decoding of bytes that were read already. */
   @Test
   void errorResponseOfDiscoveryIsNotAnEndpointList() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
+    ScriptedServer server = startOkServer("x");
+    String list = fullListJson(9) + "\n";
     discovery =
-        peer(
-            m ->
-                m.answer(
+        startServer(
+            request ->
+                request.respond(
                     "HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
-    EdgeNode node = node(server);
-    discovery.next();
+    EdgeNode node = startNode(server);
+    discovery.awaitRequest();
     assertTrue(
-        discovery.next().first().contains("after=5"), "the revision of an error's body was used");
-    assertEquals("200", ask(client(node), "t-1"));
+        discovery.awaitRequest().startLine().contains("after=5"),
+        "the revision of an error's body was used");
+    assertEquals("200", requestStatus(connect(node), "t-1"));
   }
 }
--- a/src/test/java/merlinrouter/node/GracefulShutdownTest.java
+++ b/src/test/java/merlinrouter/node/GracefulShutdownTest.java
@@ -19,28 +19,23 @@
   @Test
   void drainAnswersAcceptedRequestsAndClosesConnections() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
-    ScriptedServer server =
-        peer(
-            m -> {
-              proceed.join();
-              m.answer(ScriptedServer.ok("", "x"));
-            });
-    EdgeNode node = node(server);
-    Socket busy = client(node);
-    order(busy, "t-1");
-    server.next();
+    ScriptedServer server = startOkServer("x", proceed);
+    EdgeNode node = startNode(server);
+    Socket busy = connect(node);
+    writeKeyedRequest(busy, "t-1");
+    server.awaitRequest();
     CompletableFuture<Void> drained = node.drain();
     // Clients go on connecting for a while after SIGTERM, and their requests must be answered.
-    Socket late = client(node);
-    order(late, "t-2");
-    server.next();
+    Socket late = connect(node);
+    writeKeyedRequest(late, "t-2");
+    server.awaitRequest();
     assertFalse(drained.isDone());
     proceed.complete(null);
     for (Socket client : List.of(busy, late)) {
-      ScriptedServer.Message response = ScriptedServer.read(client);
+      ScriptedServer.Message response = ScriptedServer.readMessage(client);
       assertEquals("200", status(response));
       assertEquals("close", response.headers().get("connection"));
-      assertNull(ScriptedServer.read(client));
+      assertNull(ScriptedServer.readMessage(client));
     }
     drained.get(60, TimeUnit.SECONDS);
     // The kernel closes a listening socket only when the selector next runs: until then clients may
@@ -49,7 +44,7 @@
         IOException.class,
         () -> {
           while (true) {
-            client(node).close();
+            connect(node).close();
           }
         });
   }
--- a/src/test/java/merlinrouter/node/InvalidConfigTest.java
+++ b/src/test/java/merlinrouter/node/InvalidConfigTest.java
@@ -16,7 +16,7 @@
 class InvalidConfigTest extends NodeFixture {
   @Test
   void invalidConfigurationNamesItsKey() throws Exception {
-    String valid = config();
+    String valid = configJson();
     Map<String, String> broken =
         new TreeMap<>(
             Map.of(
--- a/src/test/java/merlinrouter/node/MalformedResponseTest.java
+++ b/src/test/java/merlinrouter/node/MalformedResponseTest.java
@@ -26,15 +26,17 @@
             "noise",
             "HTTP/1.1 100 Continue\r\n\r\n")) {
       ScriptedServer server =
-          peer(m -> m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")) + trailing));
-      Socket client = client(node(server));
+          startServer(
+              request ->
+                  request.respond(ScriptedServer.okResponse("", request.requestId()) + trailing));
+      Socket client = connect(startNode(server));
       for (String id : List.of("t-1", "t-2", "t-3")) {
-        order(client, id);
-        ScriptedServer.Message response = ScriptedServer.read(client);
+        writeKeyedRequest(client, id);
+        ScriptedServer.Message response = ScriptedServer.readMessage(client);
         assertEquals("200", status(response), trailing);
         assertEquals(id, response.body(), trailing);
         assertNotNull(
-            server.ended.poll(60, TimeUnit.SECONDS),
+            server.endedConnections.poll(60, TimeUnit.SECONDS),
             "a connection with trailing bytes must be closed");
       }
     }
@@ -44,16 +46,16 @@
   void bytesOnAnIdleConnectionCloseIt() throws Exception {
     CompletableFuture<Void> responded = new CompletableFuture<>();
     ScriptedServer server =
-        peer(
-            m -> {
-              m.answer(ScriptedServer.ok("", "x"));
+        startServer(
+            request -> {
+              request.respond(ScriptedServer.okResponse("", "x"));
               responded.join();
-              m.answer("H");
+              request.respond("H");
             });
-    assertEquals("200", ask(client(node(server)), "t-1"));
+    assertEquals("200", requestStatus(connect(startNode(server)), "t-1"));
     responded.complete(null);
     assertNotNull(
-        server.ended.poll(60, TimeUnit.SECONDS),
+        server.endedConnections.poll(60, TimeUnit.SECONDS),
         "a connection with bytes that belong to no request was kept");
   }
 
@@ -80,39 +82,42 @@
             "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
       ScriptedServer[] server = new ScriptedServer[1];
       server[0] =
-          peer(
-              m ->
-                  m.answer(server[0].seen.size() == 1 ? malformed : ScriptedServer.ok("", "good")));
-      Socket client = client(node(server[0]));
+          startServer(
+              request ->
+                  request.respond(
+                      server[0].received.size() == 1
+                          ? malformed
+                          : ScriptedServer.okResponse("", "good")));
+      Socket client = connect(startNode(server[0]));
       client.setSoTimeout(9_000);
-      order(client, "t-1");
-      ScriptedServer.Message response = ScriptedServer.read(client);
+      writeKeyedRequest(client, "t-1");
+      ScriptedServer.Message response = ScriptedServer.readMessage(client);
       assertEquals("200", status(response), malformed);
       assertEquals("good", response.body(), malformed);
       // It may have been executed: a request that is not idempotent is not retried.
-      ScriptedServer nonIdempotent = peer(m -> m.answer(malformed));
-      Socket otherClient = client(node(nonIdempotent));
-      write(otherClient, "POST /api", headers("t-2", "strict", "20000"), "book");
-      assertEquals("502", status(ScriptedServer.read(otherClient)), malformed);
-      nonIdempotent.next();
-      assertTrue(nonIdempotent.seen.isEmpty(), "it must be sent once: " + malformed);
+      ScriptedServer nonIdempotent = startServer(request -> request.respond(malformed));
+      Socket otherClient = connect(startNode(nonIdempotent));
+      writeRequest(otherClient, "POST /api", requestHeaders("t-2", "strict", "20000"), "book");
+      assertEquals("502", readStatus(otherClient), malformed);
+      nonIdempotent.awaitRequest();
+      assertTrue(nonIdempotent.received.isEmpty(), "it must be sent once: " + malformed);
     }
   }
 
   @Test
   void informationalResponsesAheadOfAFinalOneAreSkipped() throws Exception {
     ScriptedServer server =
-        peer(
-            m ->
-                m.answer(
+        startServer(
+            request ->
+                request.respond(
                     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
-                        + ScriptedServer.ok(
+                        + ScriptedServer.okResponse(
                             "X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n",
                             "good")));
-    Socket client = client(node(server));
+    Socket client = connect(startNode(server));
     for (String id : List.of("t-1", "t-2")) {
-      order(client, id);
-      assertEquals("good", ScriptedServer.read(client).body());
+      writeKeyedRequest(client, id);
+      assertEquals("good", ScriptedServer.readMessage(client).body());
     }
   }
 
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -20,14 +20,12 @@
 /** Clients that send invalid requests, too much, too little or nothing. */
 @Timeout(120)
 class MisbehavingClientTest extends NodeFixture {
-  private static void send(Socket to, String text) throws IOException {
-    to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+  private static void send(Socket client, String text) throws IOException {
+    client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String head(Map<String, String> headers, String first) {
-    StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
-    headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
-    return text.toString();
+  private static String keyedRequestHead(String requestId) {
+    return requestHead("POST /api", requestHeaders(requestId, "order", "20000"));
   }
 
   /**
@@ -36,10 +34,10 @@
   private static void assertRejected(Socket client, String status, String description)
       throws IOException {
     try {
-      ScriptedServer.Message response = ScriptedServer.read(client);
+      ScriptedServer.Message response = ScriptedServer.readMessage(client);
       assertEquals(status, status(response), description);
       assertEquals("close", response.headers().get("connection"), description);
-      assertNull(ScriptedServer.read(client), description);
+      assertNull(ScriptedServer.readMessage(client), description);
     } catch (SocketException e) {
       assertTrue(e.getMessage().contains("reset"), description + ": " + e);
     }
@@ -48,11 +46,10 @@
   /** What follows a rejected request may be a part of it (request smuggling). */
   @Test
   void nothingBehindARejectedRequestIsRead() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = node(server);
-    String valid =
-        head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
-    String head = head(headers("t-1", "order", "20000"), "POST /api");
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
+    String valid = keyedRequestHead("t-2") + "Content-Length: 0\r\n\r\n";
+    String head = keyedRequestHead("t-1");
     for (String bad :
         List.of(
             head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -76,59 +73,52 @@
             head.replace("customer=00000", "customer=+0000") + "\r\n",
             "nonsense\r\n\r\n",
             "\u0000\u0001\u0002\r\n\r\n")) {
-      Socket client = client(node);
+      Socket client = connect(node);
       send(client, bad + valid);
       assertRejected(client, "400", bad);
     }
-    assertTrue(server.seen.isEmpty(), "none of these may reach an endpoint");
+    assertTrue(server.received.isEmpty(), "none of these may reach an endpoint");
   }
 
   @Test
   void tooLargeBodyIsRejectedUnread() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = node(server);
-    String head = head(headers("t-1", "order", "20000"), "POST /api");
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
+    String head = keyedRequestHead("t-1");
     for (String bad :
         List.of(
             "Content-Length: 65537\r\n\r\n",
             "Content-Length: 60000000\r\n\r\n" + "x".repeat(9_000),
             "Transfer-Encoding: chunked\r\n\r\n"
                 + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17))) {
-      Socket client = client(node);
+      Socket client = connect(node);
       send(client, head + bad);
       assertRejected(client, "413", bad.substring(0, 24));
     }
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   /** Without timeouts, connections that send nothing would stay open for ever. */
   @Test
   void silentAndIncompleteClientsTimeOutAndOpenRequestsDoNot() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
-    ScriptedServer server =
-        peer(
-            m -> {
-              proceed.join();
-              m.answer(ScriptedServer.ok("", "x"));
-            });
-    EdgeNode node = node(server);
-    Socket busy = client(node);
-    order(busy, "t-1");
-    server.next();
-    Socket halfHead = client(node);
+    ScriptedServer server = startOkServer("x", proceed);
+    EdgeNode node = startNode(server);
+    Socket busy = connect(node);
+    writeKeyedRequest(busy, "t-1");
+    server.awaitRequest();
+    Socket halfHead = connect(node);
     send(halfHead, "POST /api HTTP/1.1\r\nX-");
-    Socket halfBody = client(node);
-    send(
-        halfBody,
-        head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 9\r\n\r\nhalf");
-    Socket silent = client(node);
+    Socket halfBody = connect(node);
+    send(halfBody, keyedRequestHead("t-2") + "Content-Length: 9\r\n\r\nhalf");
+    Socket silent = connect(node);
     assertRejected(halfHead, "408", "half a head");
     assertRejected(halfBody, "408", "half a body");
-    assertNull(ScriptedServer.read(silent));
+    assertNull(ScriptedServer.readMessage(silent));
     // The request has been open for longer than both timeouts.
     proceed.complete(null);
-    assertEquals("200", status(ScriptedServer.read(busy)));
-    assertNull(ScriptedServer.read(busy), "then the connection is idle, and closes");
+    assertEquals("200", readStatus(busy));
+    assertNull(ScriptedServer.readMessage(busy), "then the connection is idle, and closes");
   }
 
   /** Otherwise many connections with pipelined requests could exhaust the memory. */
@@ -137,60 +127,61 @@
     int count = 400;
     CompletableFuture<Void> proceed = new CompletableFuture<>();
     ScriptedServer server =
-        peer(
-            m -> {
+        startServer(
+            request -> {
               proceed.join();
-              m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")));
+              request.respond(ScriptedServer.okResponse("", request.requestId()));
             });
-    EdgeNode node = node(server);
-    Socket pipelining = client(node);
+    EdgeNode node = startNode(server);
+    Socket pipelining = connect(node);
     String body = "x".repeat(64 * 1024);
-    write(pipelining, "POST /api", headers("a-0", "order", "20000"), body);
-    server.next();
+    writeRequest(pipelining, "POST /api", requestHeaders("a-0", "order", "20000"), body);
+    server.awaitRequest();
     CompletableFuture<Void> written =
         CompletableFuture.runAsync(
             () -> {
               try {
                 for (int i = 1; i < count; i++) {
-                  write(pipelining, "POST /api", headers("a-" + i, "order", "20000"), body);
+                  writeRequest(
+                      pipelining, "POST /api", requestHeaders("a-" + i, "order", "20000"), body);
                 }
               } catch (IOException e) {
                 throw new IllegalStateException(e);
               }
             });
-    Socket other = client(node);
-    order(other, "t-1");
-    server.next();
+    Socket other = connect(node);
+    writeKeyedRequest(other, "t-1");
+    server.awaitRequest();
     assertFalse(written.isDone(), "all of 25 MB was read");
     proceed.complete(null);
-    assertEquals("200", status(ScriptedServer.read(other)));
+    assertEquals("200", readStatus(other));
     // Each has one response, in order: its own, or a failure, since behind so many unread bytes its
     // client may have disconnected more than 100 ms ago.
     for (int i = 0; i < count; i++) {
-      ScriptedServer.Message response = ScriptedServer.read(pipelining);
+      ScriptedServer.Message response = ScriptedServer.readMessage(pipelining);
       assertEquals(status(response).equals("200") ? "a-" + i : "", response.body());
-      assertTrue(Set.of("200", "502").contains(status(response)), response.first());
+      assertTrue(Set.of("200", "502").contains(status(response)), response.startLine());
       assertTrue(
           i > 0 || status(response).equals("200"),
           "the first was forwarded while its client was seen connected");
     }
     written.join();
     // All is read now, so that the client is seen connected again.
-    order(pipelining, "a-last");
-    assertEquals("a-last", ScriptedServer.read(pipelining).body());
+    writeKeyedRequest(pipelining, "a-last");
+    assertEquals("a-last", ScriptedServer.readMessage(pipelining).body());
   }
 
   /** Clients that keep a connection after one request must leave some for others. */
   @Test
   void idleConnectionsAreKeptUpToALimit() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "done")));
+    ScriptedServer server = startOkServer("done");
     EdgeNode node =
-        start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
+        startNode(configJson(readyEndpointJson("s-0", server.address())).replace("1024", "96"));
     Socket last = null;
     for (int i = 0; i < 30; i++) {
-      last = client(node);
-      order(last, "k-" + i);
-      ScriptedServer.Message response = ScriptedServer.read(last);
+      last = connect(node);
+      writeKeyedRequest(last, "k-" + i);
+      ScriptedServer.Message response = ScriptedServer.readMessage(last);
       assertEquals("200", status(response));
       if (i == 20) {
         assertEquals(
@@ -201,13 +192,13 @@
       }
     }
     assertTrue(node.connections() <= 17, "connections kept: " + node.connections());
-    assertEquals("200", ask(client(node), "k-30"));
+    assertEquals("200", requestStatus(connect(node), "k-30"));
   }
 
   @Test
   void invalidRequestsAreRejected() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = node(server);
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
     Map<String, String> bad =
         new TreeMap<>(
             Map.of(
@@ -226,11 +217,11 @@
                 "Idempotency-Key",
                 ""));
     for (Map.Entry<String, String> entry : bad.entrySet()) {
-      Map<String, String> headers = headers("t-1", "order", "20000");
+      Map<String, String> headers = requestHeaders("t-1", "order", "20000");
       headers.put(entry.getKey(), entry.getValue());
-      Socket client = client(node);
-      write(client, "POST /api", headers, "");
-      assertEquals("400", status(ScriptedServer.read(client)), entry.getKey());
+      Socket client = connect(node);
+      writeRequest(client, "POST /api", headers, "");
+      assertEquals("400", readStatus(client), entry.getKey());
     }
     for (String quota :
         List.of(
@@ -239,51 +230,46 @@
             "units=-1,spread=1,first=0",
             "spread=1,first=0",
             "units=1")) {
-      Map<String, String> headers = headers("t-1", "order", "20000");
+      Map<String, String> headers = requestHeaders("t-1", "order", "20000");
       headers.put("X-Quota", quota);
-      Socket client = client(node);
-      write(client, "POST /api", headers, "");
-      assertEquals("400", status(ScriptedServer.read(client)), quota);
+      Socket client = connect(node);
+      writeRequest(client, "POST /api", headers, "");
+      assertEquals("400", readStatus(client), quota);
     }
-    Map<String, String> valid = headers("t-1", "order", "20000");
+    Map<String, String> valid = requestHeaders("t-1", "order", "20000");
     for (Map.Entry<String, String> entry :
         Map.of("GET /api", "405", "POST /elsewhere", "404").entrySet()) {
-      Socket client = client(node);
-      write(client, entry.getKey(), valid, "");
-      assertEquals(entry.getValue(), status(ScriptedServer.read(client)), entry.getKey());
+      Socket client = connect(node);
+      writeRequest(client, entry.getKey(), valid, "");
+      assertEquals(entry.getValue(), readStatus(client), entry.getKey());
     }
-    assertTrue(server.seen.isEmpty(), "none of these may reach an endpoint");
+    assertTrue(server.received.isEmpty(), "none of these may reach an endpoint");
   }
 
   @Test
   void duplicateIdOfAnOpenRequestIsRejected() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
-    ScriptedServer server =
-        peer(
-            m -> {
-              proceed.join();
-              m.answer(ScriptedServer.ok("", "x"));
-            });
-    EdgeNode node = node(server);
-    Socket first = client(node);
-    order(first, "t-1");
-    server.next();
-    assertEquals("409", ask(client(node), "t-1"));
+    ScriptedServer server = startOkServer("x", proceed);
+    EdgeNode node = startNode(server);
+    Socket first = connect(node);
+    writeKeyedRequest(first, "t-1");
+    server.awaitRequest();
+    assertEquals("409", requestStatus(connect(node), "t-1"));
     proceed.complete(null);
-    assertEquals("200", status(ScriptedServer.read(first)));
+    assertEquals("200", readStatus(first));
   }
 
   /** Otherwise silent connections could occupy all sockets. */
   @Test
   void silentConnectionsAreEvictedForNewOnes() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
+    ScriptedServer server = startOkServer("x");
     EdgeNode node =
-        start(
-            config(member("s-0", server.address(), "Ready", 0))
+        startNode(
+            configJson(readyEndpointJson("s-0", server.address()))
                 .replace("\"sockets\": 1024", "\"sockets\": 16"));
     for (int i = 0; i < 30; i++) {
-      client(node);
+      connect(node);
     }
-    assertEquals("200", ask(client(node), "t-1"));
+    assertEquals("200", requestStatus(connect(node), "t-1"));
   }
 }
--- a/src/test/java/merlinrouter/node/NodeFixture.java
+++ b/src/test/java/merlinrouter/node/NodeFixture.java
@@ -12,44 +12,69 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
 import merlinrouter.node.config.NodeConfigReader;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the tests of a node share: scripted peers on loopback sockets, a node between them, and its
- * clients.
+ * A node in the test's process, with scripted servers as its endpoints, discovery and counter, and
+ * plain sockets as its clients, all on loopback.
  */
 @Timeout(120)
 public abstract class NodeFixture {
-  static final String UNCHANGED =
-      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
-  final List<AutoCloseable> toClose = new ArrayList<>();
+  /** A watch's response that stays open and tells no change. */
+  static final String UNCHANGED_LIST =
+      ScriptedServer.CHUNKED_RESPONSE_HEAD + ScriptedServer.chunk("\n");
+
+  private static final int CLIENT_TIMEOUT_MILLIS = 60_000;
+
+  /** What a test has opened; it is closed in reverse order behind the test. */
+  final List<AutoCloseable> resources = new ArrayList<>();
+
   ScriptedServer discovery;
   ScriptedServer counter;
-  volatile ScriptedServer.Script counting = m -> m.answer(ScriptedServer.ok("", "1"));
+
+  /** The counter's script, which a test may replace. */
+  volatile ScriptedServer.Script counterScript =
+      request -> request.respond(ScriptedServer.okResponse("", "1"));
 
   @BeforeEach
-  void peers() throws IOException {
-    discovery = peer(m -> m.answer(UNCHANGED));
-    counter = peer(m -> counting.on(m));
+  void startDiscoveryAndCounter() throws IOException {
+    discovery = startServer(request -> request.respond(UNCHANGED_LIST));
+    counter = startServer(request -> counterScript.handle(request));
   }
 
   @AfterEach
-  void close() throws Exception {
-    for (int i = toClose.size() - 1; i >= 0; i--) {
-      toClose.get(i).close();
+  void closeResources() throws Exception {
+    for (int i = resources.size() - 1; i >= 0; i--) {
+      resources.get(i).close();
     }
   }
 
-  ScriptedServer peer(ScriptedServer.Script script) throws IOException {
-    ScriptedServer peer = new ScriptedServer(script);
-    toClose.add(peer);
-    return peer;
+  ScriptedServer startServer(ScriptedServer.Script script) throws IOException {
+    ScriptedServer server = new ScriptedServer(script);
+    resources.add(server);
+    return server;
+  }
+
+  /** A server that answers each request with 200 and the same body. */
+  ScriptedServer startOkServer(String body) throws IOException {
+    return startServer(request -> request.respond(ScriptedServer.okResponse("", body)));
   }
 
-  static String member(String id, String address, String phase, long since) {
+  /** Like {@link #startOkServer}, but no request is answered before {@code proceed} completes. */
+  ScriptedServer startOkServer(String body, CompletableFuture<Void> proceed) throws IOException {
+    return startServer(
+        request -> {
+          proceed.join();
+          request.respond(ScriptedServer.okResponse("", body));
+        });
+  }
+
+  /** An entry of an endpoint list, as discovery sends it. */
+  static String endpointJson(String id, String address, String phase, long upSinceMillis) {
     return "{\"id\":\""
         + id
         + "\",\"host_port\":\""
@@ -59,48 +84,89 @@
         + "\"phase\":\""
         + phase
         + "\",\"size\":1.0,\"up_since_ms\":"
-        + since
+        + upSinceMillis
         + "}";
   }
 
-  String config(String... members) throws IOException {
+  /** An entry of an endpoint that is ready and not in slow start. */
+  static String readyEndpointJson(String id, String address) {
+    return endpointJson(id, address, "Ready", 0);
+  }
+
+  /** A list that names all endpoints. */
+  static String fullListJson(int revision, String... endpoints) {
+    return listJson(revision, true, endpoints);
+  }
+
+  /** A list of those endpoints only that have changed. */
+  static String updateJson(int revision, String... endpoints) {
+    return listJson(revision, false, endpoints);
+  }
+
+  private static String listJson(int revision, boolean complete, String... endpoints) {
+    return "{\"revision\":"
+        + revision
+        + ",\"complete\":"
+        + complete
+        + ",\"members\":["
+        + String.join(",", endpoints)
+        + "]}";
+  }
+
+  /** What a watch sends first: its response's head and one list or update. */
+  static String watchResponse(String list) {
+    return ScriptedServer.CHUNKED_RESPONSE_HEAD + ScriptedServer.chunk(list + "\n");
+  }
+
+  /** The configuration of a node that starts with these endpoints. */
+  String configJson(String... endpoints) throws IOException {
     return Files.readString(Path.of("src/test/resources/node.json"))
         .replace("DISCOVERY", discovery.address())
         .replace("COUNTER", counter.address())
-        .replace("MEMBERS", String.join(",", members));
+        .replace("MEMBERS", String.join(",", endpoints));
   }
 
-  EdgeNode node(ScriptedServer... servers) throws Exception {
-    String[] members = new String[servers.length];
-    for (int i = 0; i < members.length; i++) {
-      members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
+  /** Starts a node with these servers as its endpoints {@code s-0}, {@code s-1}, and so on. */
+  EdgeNode startNode(ScriptedServer... servers) throws Exception {
+    String[] endpoints = new String[servers.length];
+    for (int i = 0; i < endpoints.length; i++) {
+      endpoints[i] = readyEndpointJson("s-" + i, servers[i].address());
     }
-    return start(config(members));
+    return startNode(configJson(endpoints));
   }
 
-  EdgeNode start(String config) throws Exception {
-    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config));
-    toClose.add(node);
+  EdgeNode startNode(String configJson) throws Exception {
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(configJson));
+    resources.add(node);
     node.start();
     return node;
   }
 
-  Socket client(EdgeNode node) throws IOException {
-    InetSocketAddress at = (InetSocketAddress) node.address();
-    Socket socket = new Socket(at.getAddress(), at.getPort());
-    socket.setSoTimeout(60_000);
-    toClose.add(socket);
-    return socket;
+  /** Opens a client connection. */
+  Socket connect(EdgeNode node) throws IOException {
+    Socket client = connect((InetSocketAddress) node.address());
+    resources.add(client);
+    return client;
   }
 
-  static Map<String, String> headers(String id, String requestClass, String expires) {
+  /** Opens a client connection that the caller closes. */
+  static Socket connect(InetSocketAddress node) throws IOException {
+    Socket client = new Socket();
+    client.setSoTimeout(CLIENT_TIMEOUT_MILLIS);
+    client.connect(node, CLIENT_TIMEOUT_MILLIS);
+    return client;
+  }
+
+  /** The headers of a valid request; class {@code order} gets an idempotency key. */
+  static Map<String, String> requestHeaders(
+      String requestId, String requestClass, String timeoutMillis) {
     Map<String, String> headers =
         new TreeMap<>(
             Map.of(
                 "Host",
                 "app.svc",
                 "X-Trace-Id",
-                id,
+                requestId,
                 "X-Qos",
                 requestClass,
                 "X-Plan",
@@ -108,34 +174,53 @@
                 "Cookie",
                 "customer=0000000000000007",
                 "X-Expires-In-Ms",
-                expires,
+                timeoutMillis,
                 "X-Quota",
                 "units=1,spread=1,first=0"));
     if (requestClass.equals("order")) {
-      headers.put("Idempotency-Key", "key-" + id);
+      headers.put("Idempotency-Key", "key-" + requestId);
     }
     return headers;
   }
 
-  static void write(Socket to, String first, Map<String, String> headers, String body)
+  static void writeRequest(
+      Socket client, String methodAndPath, Map<String, String> headers, String body)
       throws IOException {
-    StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
-    headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
-    text.append("Content-Length: ").append(body.length()).append("\r\n\r\n").append(body);
-    to.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
+    String request =
+        requestHead(methodAndPath, headers)
+            + "Content-Length: "
+            + body.length()
+            + "\r\n\r\n"
+            + body;
+    client.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
+  }
+
+  /** The request line and the headers, without the empty line that ends them. */
+  static String requestHead(String methodAndPath, Map<String, String> headers) {
+    StringBuilder head = new StringBuilder(methodAndPath).append(" HTTP/1.1\r\n");
+    headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
+    return head.toString();
+  }
+
+  /** Writes a request with an idempotency key. */
+  static void writeKeyedRequest(Socket client, String requestId) throws IOException {
+    writeRequest(client, "POST /api?slot=4", requestHeaders(requestId, "order", "20000"), "book");
   }
 
-  static void order(Socket to, String id) throws IOException {
-    write(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
+  /** The status code of a response; fails if the connection ended instead. */
+  static String status(ScriptedServer.Message response) {
+    assertNotNull(response, "the connection ended without a response");
+    return response.startLine().split(" ")[1];
   }
 
-  static String status(ScriptedServer.Message answer) {
-    assertNotNull(answer, "the connection ended without an answer");
-    return answer.first().split(" ")[1];
+  /** Reads the next response and returns its status code. */
+  static String readStatus(Socket client) throws IOException {
+    return status(ScriptedServer.readMessage(client));
   }
 
-  static String ask(Socket client, String id) throws IOException {
-    order(client, id);
-    return status(ScriptedServer.read(client));
+  /** Sends a request with an idempotency key and returns the status code of its response. */
+  static String requestStatus(Socket client, String requestId) throws IOException {
+    writeKeyedRequest(client, requestId);
+    return readStatus(client);
   }
 }
--- a/src/test/java/merlinrouter/node/RaceConditionTest.java
+++ b/src/test/java/merlinrouter/node/RaceConditionTest.java
@@ -45,7 +45,7 @@
     private final List<Socket> line = new ArrayList<>();
 
     FullLine() throws IOException {
-      toClose.add(this);
+      resources.add(this);
       try {
         while (true) {
           Socket next = new Socket();
@@ -77,10 +77,10 @@
                         new Thread(
                             () -> {
                               try {
-                                ScriptedServer.Message message = ScriptedServer.read(socket);
+                                ScriptedServer.Message message = ScriptedServer.readMessage(socket);
                                 if (message != null) {
                                   first.complete(message);
-                                  message.answer(ScriptedServer.ok("", "late"));
+                                  message.respond(ScriptedServer.okResponse("", "late"));
                                 }
                               } catch (IOException e) {
                                 // One of the line.
@@ -119,7 +119,7 @@
   }
 
   private static void lookup(Socket to, String id) throws IOException {
-    write(to, "GET /api", headers(id, "lookup", "20000"), "");
+    writeRequest(to, "GET /api", requestHeaders(id, "lookup", "20000"), "");
   }
 
   /**
@@ -166,11 +166,11 @@
   void aRequestWhoseClientLeftWhileItsConnectWasOutIsNotSent() throws Exception {
     FullLine server = new FullLine();
     EdgeNode node =
-        start(
-            config(member("s-0", server.address(), "Ready", 0))
+        startNode(
+            configJson(readyEndpointJson("s-0", server.address()))
                 .replace(
                     "\"connect-timeout-ns\": 250000000", "\"connect-timeout-ns\": 60000000000"));
-    Socket client = client(node);
+    Socket client = connect(node);
     lookup(client, "t-1");
     until(node, () -> node.pool().connections() == 1);
     client.close();
@@ -178,42 +178,42 @@
     CompletableFuture<ScriptedServer.Message> first = server.open();
     until(node, () -> node.pool().idle() == 1 || first.isDone());
     assertFalse(first.isDone(), "its connect came up, and it was sent with nobody waiting");
-    lookup(client(node), "t-2");
-    assertEquals("t-2", first.get().headers().get("x-trace-id"));
+    lookup(connect(node), "t-2");
+    assertEquals("t-2", first.get().requestId());
   }
 
   @Test
   void aRequestWhoseClientLeftBetweenItsAttemptsIsNotSentAgain() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     ScriptedServer.Script once =
-        m -> {
-          if (m.headers().get("x-trace-id").equals("t-1")) {
+        request -> {
+          if (request.requestId().equals("t-1")) {
             go.join();
-            m.socket().close();
+            request.connection().close();
           } else {
-            m.answer(ScriptedServer.ok("", "x"));
+            request.respond(ScriptedServer.okResponse("", "x"));
           }
         };
-    ScriptedServer one = peer(once);
-    EdgeNode node = node(one);
-    Socket client = client(node);
+    ScriptedServer one = startServer(once);
+    EdgeNode node = startNode(one);
+    Socket client = connect(node);
     lookup(client, "t-1");
-    one.next();
+    one.awaitRequest();
     client.close();
     allLeft(node);
     go.complete(null);
     until(node, () -> node.pool().connections() == 0);
-    lookup(client(node), "t-2");
-    assertEquals("t-2", one.next().headers().get("x-trace-id"));
+    lookup(connect(node), "t-2");
+    assertEquals("t-2", one.awaitRequest().requestId());
   }
 
   private String asking(ScriptedServer server) throws IOException {
-    return config(member("s-0", server.address(), "Ready", 0))
+    return configJson(readyEndpointJson("s-0", server.address()))
         .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 4000000000");
   }
 
   private static Map<String, String> shared(String id) {
-    Map<String, String> headers = headers(id, "order", "20000");
+    Map<String, String> headers = requestHeaders(id, "order", "20000");
     headers.put("X-Quota", "units=1,spread=2,first=0");
     return headers;
   }
@@ -225,18 +225,18 @@
   void aRequestWhoseClientLeftWhileTheCounterWasAskedIsNotSentThoughMuchWasSentAhead()
       throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    counting =
-        m -> {
+    counterScript =
+        request -> {
           go.join();
-          m.answer(ScriptedServer.ok("", "1"));
+          request.respond(ScriptedServer.okResponse("", "1"));
         };
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = start(asking(server));
-    Socket client = client(node);
-    write(client, "POST /api", shared("t-1"), "book");
-    counter.next();
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(asking(server));
+    Socket client = connect(node);
+    writeRequest(client, "POST /api", shared("t-1"), "book");
+    counter.awaitRequest();
     for (int i = 0; i < 4; i++) {
-      write(client, "POST /api", shared("a-" + i), "x".repeat(40_000));
+      writeRequest(client, "POST /api", shared("a-" + i), "x".repeat(40_000));
       if (i == 1) {
         // So the rest comes with a further read.
         until(node, () -> node.held() > 80_000);
@@ -245,8 +245,8 @@
     client.close();
     allLeft(node);
     go.complete(null);
-    order(client(node), "t-2");
-    assertEquals("t-2", server.next().headers().get("x-trace-id"));
+    writeKeyedRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
   }
 
   /**
@@ -254,20 +254,20 @@
    */
   @Test
   void whatIsSentAheadIsHeldToABoundHoweverLongItsTurnTakes() throws Exception {
-    ScriptedServer server = peer(m -> {});
-    EdgeNode node = node(server);
-    Socket ahead = client(node);
-    order(ahead, "t-1");
-    server.next();
+    ScriptedServer server = startServer(request -> {});
+    EdgeNode node = startNode(server);
+    Socket ahead = connect(node);
+    writeKeyedRequest(ahead, "t-1");
+    server.awaitRequest();
     Thread writing =
         new Thread(
             () -> {
               try {
                 for (int i = 0; i < 400; i++) {
-                  write(
+                  writeRequest(
                       ahead,
                       "POST /api",
-                      headers("a-" + i, "order", "20000"),
+                      requestHeaders("a-" + i, "order", "20000"),
                       "x".repeat(64 * 1024));
                 }
               } catch (IOException e) {
@@ -289,9 +289,9 @@
    */
   @Test
   void aRequestWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = node(server);
-    Socket client = client(node);
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
     while (node.connections() < 1) {
       Thread.onSpinWait();
     }
@@ -304,8 +304,8 @@
             })
         .get();
     allLeft(node);
-    lookup(client(node), "t-2");
-    assertEquals("t-2", server.next().headers().get("x-trace-id"));
+    lookup(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
   }
 
   /**
@@ -315,35 +315,35 @@
   void aRequestWhoseClientLeftWhileTheLoopWasHeldIsNotSentAgain() throws Exception {
     CompletableFuture<ScriptedServer.Message> sent = new CompletableFuture<>();
     ScriptedServer server =
-        peer(
-            m -> {
-              if (m.headers().get("x-trace-id").equals("t-1")) {
-                sent.complete(m);
+        startServer(
+            request -> {
+              if (request.requestId().equals("t-1")) {
+                sent.complete(request);
               } else {
-                m.answer(ScriptedServer.ok("", "x"));
+                request.respond(ScriptedServer.okResponse("", "x"));
               }
             });
-    EdgeNode node = node(server);
-    Socket client = client(node);
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
     lookup(client, "t-1");
-    server.next();
+    server.awaitRequest();
     // Another's connection is idle by then, so that a further attempt would go out at once.
-    lookup(client(node), "t-0");
-    server.next();
+    lookup(connect(node), "t-0");
+    server.awaitRequest();
     until(node, () -> node.pool().idle() == 1);
     node.loop().schedule(() -> {}, 30, TimeUnit.MILLISECONDS).get();
     node.loop()
         .submit(
             () -> {
               sent.join()
-                  .answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+                  .respond("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
               client.close();
               return null;
             })
         .get();
     allLeft(node);
-    lookup(client(node), "t-2");
-    assertEquals("t-2", server.next().headers().get("x-trace-id"));
+    lookup(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
   }
 
   /** Each was once given 0.2 s again from its turn on. */
@@ -351,20 +351,21 @@
   void whatWaitsBehindARequestIsNotSentEitherOnceItsClientHasLeftUnseen() throws Exception {
     CompletableFuture<ScriptedServer.Message> sent = new CompletableFuture<>();
     ScriptedServer server =
-        peer(
-            m -> {
-              if (m.headers().get("x-trace-id").equals("t-1")) {
-                sent.complete(m);
+        startServer(
+            request -> {
+              if (request.requestId().equals("t-1")) {
+                sent.complete(request);
               } else {
-                m.answer(ScriptedServer.ok("", "x"));
+                request.respond(ScriptedServer.okResponse("", "x"));
               }
             });
-    EdgeNode node = node(server);
-    Socket client = client(node);
-    order(client, "t-1");
-    server.next();
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    server.awaitRequest();
     for (int i = 0; i < 10; i++) {
-      write(client, "POST /api", headers("a-" + i, "order", "20000"), "x".repeat(60_000));
+      writeRequest(
+          client, "POST /api", requestHeaders("a-" + i, "order", "20000"), "x".repeat(60_000));
     }
     until(node, () -> node.unread() == 1);
     client.close();
@@ -372,18 +373,18 @@
         .submit(
             () -> {
               Thread.sleep(150);
-              sent.join().answer(ScriptedServer.ok("", "x"));
+              sent.join().respond(ScriptedServer.okResponse("", "x"));
               return null;
             })
         .get();
     allLeft(node);
-    order(client(node), "t-2");
-    assertEquals("t-2", server.next().headers().get("x-trace-id"));
+    writeKeyedRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
   }
 
   /** So short an aim that a request with little time left is still tried. */
   private String hasty(ScriptedServer server) throws IOException {
-    return config(member("s-0", server.address(), "Ready", 0))
+    return configJson(readyEndpointJson("s-0", server.address()))
         .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 400000000");
   }
 
@@ -394,53 +395,53 @@
   void theTimeOfARequestThatWaitsBehindAnotherGoesByMeanwhile() throws Exception {
     CompletableFuture<ScriptedServer.Message> sent = new CompletableFuture<>();
     ScriptedServer server =
-        peer(
-            m -> {
-              if (m.headers().get("x-trace-id").equals("t-1")) {
-                sent.complete(m);
+        startServer(
+            request -> {
+              if (request.requestId().equals("t-1")) {
+                sent.complete(request);
               } else {
-                m.answer(ScriptedServer.ok("", "x"));
+                request.respond(ScriptedServer.okResponse("", "x"));
               }
             });
-    EdgeNode node = start(hasty(server));
-    Socket client = client(node);
-    order(client, "t-1");
-    server.next();
-    write(client, "POST /api", headers("t-2", "order", "400"), "book");
+    EdgeNode node = startNode(hasty(server));
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    server.awaitRequest();
+    writeRequest(client, "POST /api", requestHeaders("t-2", "order", "400"), "book");
     until(node, () -> node.held() > 100);
     node.loop()
         .submit(
             () -> {
               Thread.sleep(450);
-              sent.join().answer(ScriptedServer.ok("", "x"));
+              sent.join().respond(ScriptedServer.okResponse("", "x"));
               return null;
             })
         .get();
-    assertEquals("200", status(ScriptedServer.read(client)));
-    assertFalse(status(ScriptedServer.read(client)).equals("200"), "it was served behind its time");
-    order(client, "t-3");
-    assertEquals("t-3", server.next().headers().get("x-trace-id"));
+    assertEquals("200", readStatus(client));
+    assertFalse(readStatus(client).equals("200"), "it was served behind its time");
+    writeKeyedRequest(client, "t-3");
+    assertEquals("t-3", server.awaitRequest().requestId());
   }
 
   /** The same for what a loop that was held has not read yet. */
   @Test
   void theTimeOfARequestThatIsNotReadYetGoesByMeanwhile() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = start(hasty(server));
-    Socket client = client(node);
-    assertEquals("200", ask(client, "t-1"));
-    server.next();
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(hasty(server));
+    Socket client = connect(node);
+    assertEquals("200", requestStatus(client, "t-1"));
+    server.awaitRequest();
     node.loop()
         .submit(
             () -> {
-              write(client, "POST /api", headers("t-2", "order", "400"), "book");
+              writeRequest(client, "POST /api", requestHeaders("t-2", "order", "400"), "book");
               Thread.sleep(450);
               return null;
             })
         .get();
-    assertFalse(status(ScriptedServer.read(client)).equals("200"), "it was served behind its time");
-    order(client, "t-3");
-    assertEquals("t-3", server.next().headers().get("x-trace-id"));
+    assertFalse(readStatus(client).equals("200"), "it was served behind its time");
+    writeKeyedRequest(client, "t-3");
+    assertEquals("t-3", server.awaitRequest().requestId());
   }
 
   /**
@@ -449,9 +450,9 @@
    */
   @Test
   void theLastAnswerIsDueBeforeACollectionCouldMakeItLate() throws Exception {
-    EdgeNode whole = node();
+    EdgeNode whole = startNode();
     EdgeNode quarter =
-        start(config().replace("\"sockets\": 1024", "\"sockets\": 1024, \"cores\": 0.25"));
+        startNode(configJson().replace("\"sockets\": 1024", "\"sockets\": 1024, \"cores\": 0.25"));
     long ms = 1_000_000L;
     assertEquals(976 * ms, whole.deadline(0, 1_000 * ms));
     assertEquals(904 * ms, quarter.deadline(0, 1_000 * ms));
@@ -464,20 +465,20 @@
   @Test
   void aRequestThatWaitsBeforeMoreThanIsReadAheadIsGivenUp() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    counting =
-        m -> {
+    counterScript =
+        request -> {
           go.join();
-          m.answer(ScriptedServer.ok("", "1"));
+          request.respond(ScriptedServer.okResponse("", "1"));
         };
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = start(asking(server));
-    Socket client = client(node);
-    write(client, "POST /api", shared("t-1"), "book");
-    counter.next();
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(asking(server));
+    Socket client = connect(node);
+    writeRequest(client, "POST /api", shared("t-1"), "book");
+    counter.awaitRequest();
     byte[] much = new byte[600_000];
     Arrays.fill(much, (byte) 'x');
     Map<String, String> ahead = shared("a-1");
-    write(client, "POST /api", ahead, new String(much, StandardCharsets.US_ASCII));
+    writeRequest(client, "POST /api", ahead, new String(much, StandardCharsets.US_ASCII));
     until(node, () -> node.unread() == 1);
     node.loop()
         .submit(
@@ -487,9 +488,9 @@
             })
         .get();
     go.complete(null);
-    assertEquals("502", status(ScriptedServer.read(client)));
-    order(client(node), "t-2");
-    assertEquals("t-2", server.next().headers().get("x-trace-id"));
+    assertEquals("502", readStatus(client));
+    writeKeyedRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
   }
 
   /**
@@ -499,20 +500,20 @@
   void aSecondAnswerThatComesWhileTheLoopIsHeldIsNotTheNextRequests() throws Exception {
     CompletableFuture<ScriptedServer.Message> answered = new CompletableFuture<>();
     ScriptedServer server =
-        peer(
-            m -> {
-              m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id")));
-              answered.complete(m);
+        startServer(
+            request -> {
+              request.respond(ScriptedServer.okResponse("", request.requestId()));
+              answered.complete(request);
             });
-    EdgeNode node = node(server);
-    assertEquals("200", ask(client(node), "t-1"));
+    EdgeNode node = startNode(server);
+    assertEquals("200", requestStatus(connect(node), "t-1"));
     until(node, () -> node.pool().idle() == 1);
     String next =
         node.loop()
             .submit(
                 () -> {
                   Thread.sleep(50);
-                  answered.join().answer(ScriptedServer.ok("", "t-1"));
+                  answered.join().respond(ScriptedServer.okResponse("", "t-1"));
                   return take(node, "t-2");
                 })
             .get()
@@ -527,13 +528,13 @@
   @Test
   void aConnectionThatStoodIdleForLongIsNotUsedThoughNoSweepHasComeYet() throws Exception {
     ScriptedServer server =
-        peer(m -> m.answer(ScriptedServer.ok("", m.headers().get("x-trace-id"))));
+        startServer(request -> request.respond(ScriptedServer.okResponse("", request.requestId())));
     EdgeNode node =
-        start(
-            config(member("s-0", server.address(), "Ready", 0))
+        startNode(
+            configJson(readyEndpointJson("s-0", server.address()))
                 .replace("\"keepalive-ns\": 30000000000", "\"keepalive-ns\": 400000000"));
-    assertEquals("200", ask(client(node), "t-1"));
-    Socket first = server.next().socket();
+    assertEquals("200", requestStatus(connect(node), "t-1"));
+    Socket first = server.awaitRequest().connection();
     String next =
         node.loop()
             .submit(
@@ -545,7 +546,8 @@
             .get();
     assertEquals("t-2", next);
     assertFalse(
-        server.next().socket() == first, "it went out on the connection that the server may close");
+        server.awaitRequest().connection() == first,
+        "it went out on the connection that the server may close");
   }
 
   /**
@@ -554,19 +556,16 @@
    */
   @Test
   void aRepeatIsNotSentWhereItsConnectionMayComeUpBehindTheKeysWindow() throws Exception {
-    ScriptedServer breaks = peer(m -> m.socket().close());
+    ScriptedServer breaks = startServer(request -> request.connection().close());
     EdgeNode node =
-        start(
-            config(member("s-0", breaks.address(), "Ready", 0))
+        startNode(
+            configJson(readyEndpointJson("s-0", breaks.address()))
                 .replace(
                     "\"connect-timeout-ns\": 250000000", "\"connect-timeout-ns\": 40000000000"));
-    Socket client = client(node);
-    order(client, "t-1");
-    assertEquals(
-        "429",
-        status(ScriptedServer.read(client)),
-        "refused at once, since all servers drop repeats");
-    assertEquals(1, breaks.seen.size());
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    assertEquals("429", readStatus(client), "refused at once, since all servers drop repeats");
+    assertEquals(1, breaks.received.size());
   }
 
   /**
@@ -574,8 +573,8 @@
    */
   @Test
   void aNodeToldToEndBeforeItsBindNeverServes() throws Exception {
-    EdgeNode node = new EdgeNode(NodeConfigReader.parse(config()));
-    toClose.add(node);
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(configJson()));
+    resources.add(node);
     node.drain().get(20, TimeUnit.SECONDS);
     Thread starting =
         new Thread(
@@ -588,20 +587,20 @@
             });
     starting.setDaemon(true);
     starting.start();
-    discovery.next();
+    discovery.awaitRequest();
     assertFalse(node.loop().submit(() -> node.listens()).get());
   }
 
   /** Between the file's reading and the start the new addresses once had no place to go. */
   @Test
   void aHangUpBeforeTheStartMovesTheFirstWatchOn() throws Exception {
-    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
-    String config = config();
+    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    String config = configJson();
     EdgeNode node = new EdgeNode(NodeConfigReader.parse(config));
-    toClose.add(node);
+    resources.add(node);
     node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
     node.start();
-    assertTrue(elsewhere.next().first().contains("after=5"));
+    assertTrue(elsewhere.awaitRequest().startLine().contains("after=5"));
     until(node, () -> node.discovery().openWatches() == 1);
   }
 
@@ -611,10 +610,10 @@
    */
   @Test
   void whatCameBeforeTheGraceEndsIsAnsweredThoughTheLoopWasHeld() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = node(server);
-    Socket known = client(node);
-    assertEquals("200", ask(known, "t-0"));
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
+    Socket known = connect(node);
+    assertEquals("200", requestStatus(known, "t-0"));
     CompletableFuture<Void> drained = node.loop().submit(() -> node.drain()).get();
     InetSocketAddress at = (InetSocketAddress) node.address();
     Socket fresh =
@@ -623,15 +622,15 @@
                 () -> {
                   Socket made = new Socket(at.getAddress(), at.getPort());
                   made.setSoTimeout(60_000);
-                  order(made, "t-1");
-                  order(known, "t-2");
+                  writeKeyedRequest(made, "t-1");
+                  writeKeyedRequest(known, "t-2");
                   Thread.sleep(700);
                   return made;
                 })
             .get();
-    toClose.add(fresh);
-    assertEquals("200", status(ScriptedServer.read(fresh)));
-    assertEquals("200", status(ScriptedServer.read(known)));
+    resources.add(fresh);
+    assertEquals("200", readStatus(fresh));
+    assertEquals("200", readStatus(known));
     drained.get(60, TimeUnit.SECONDS);
   }
 
@@ -641,8 +640,8 @@
    */
   @Test
   void allWhoConnectedBeforeTheGraceEndsAreAnsweredHoweverManyThereAre() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "x")));
-    EdgeNode node = node(server);
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
     CompletableFuture<Void> drained = node.loop().submit(() -> node.drain()).get();
     InetSocketAddress at = (InetSocketAddress) node.address();
     List<Socket> crowd =
@@ -653,16 +652,16 @@
                   for (int i = 0; i < 60; i++) {
                     Socket socket = new Socket(at.getAddress(), at.getPort());
                     socket.setSoTimeout(60_000);
-                    order(socket, "c-" + i);
+                    writeKeyedRequest(socket, "c-" + i);
                     made.add(socket);
                   }
                   Thread.sleep(700);
                   return made;
                 })
             .get();
-    toClose.addAll(crowd);
+    resources.addAll(crowd);
     for (Socket socket : crowd) {
-      status(ScriptedServer.read(socket));
+      readStatus(socket);
     }
     drained.get(60, TimeUnit.SECONDS);
   }
@@ -675,14 +674,14 @@
   void whatALoopIsHeldForWithinAnEventIsTakenFromWhatTheNextAttemptIsTold() throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
     ScriptedServer.Script script =
-        m ->
-            m.answer(
+        request ->
+            request.respond(
                 first.getAndSet(false)
                     ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-                    : ScriptedServer.ok("", "x"));
-    ScriptedServer[] servers = {peer(script), peer(script)};
-    EdgeNode node = node(servers);
-    Socket client = client(node);
+                    : ScriptedServer.okResponse("", "x"));
+    ScriptedServer[] servers = {startServer(script), startServer(script)};
+    EdgeNode node = startNode(servers);
+    Socket client = connect(node);
     PrintStream usual = System.out;
     AtomicLong begun = new AtomicLong();
     AtomicLong heldUntil = new AtomicLong();
@@ -703,8 +702,8 @@
       for (int i = 0; heldUntil.get() == 0; i++) {
         first.set(true);
         begun.set(System.nanoTime());
-        write(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
-        assertEquals("200", status(ScriptedServer.read(client)));
+        writeRequest(client, "GET /api", requestHeaders("t-" + i, "lookup", "20000"), "");
+        assertEquals("200", readStatus(client));
       }
     } finally {
       System.setOut(usual);
@@ -712,9 +711,9 @@
     long most = 20_000 - TimeUnit.NANOSECONDS.toMillis(HOLD) + 150;
     long least = Long.MAX_VALUE;
     for (ScriptedServer server : servers) {
-      for (ScriptedServer.Message sent = server.seen.poll();
+      for (ScriptedServer.Message sent = server.received.poll();
           sent != null;
-          sent = server.seen.poll()) {
+          sent = server.received.poll()) {
         least = Math.min(least, Long.parseLong(sent.headers().get("x-expires-in-ms")));
       }
     }
--- a/src/test/java/merlinrouter/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -23,50 +23,40 @@
 class ReloadTest extends NodeFixture {
   @TempDir Path folder;
 
-  private static String watched(String line) {
-    return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        + Integer.toHexString(line.length() + 1)
-        + "\r\n"
-        + line
-        + "\n\r\n";
-  }
-
   @Test
   void theOldListServesUntilTheNewWatchSpeaks() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    ScriptedServer old = peer(m -> m.answer(ScriptedServer.ok("", "old")));
-    ScriptedServer fresh = peer(m -> m.answer(ScriptedServer.ok("", "new")));
-    String config = config(member("s-0", old.address(), "Ready", 0));
-    EdgeNode node = start(config);
+    ScriptedServer old = startOkServer("old");
+    ScriptedServer fresh = startOkServer("new");
+    String config = configJson(readyEndpointJson("s-0", old.address()));
+    EdgeNode node = startNode(config);
     ScriptedServer elsewhere =
-        peer(
-            m -> {
+        startServer(
+            request -> {
               go.join();
-              m.answer(
-                  watched(
-                      "{\"revision\":9,\"complete\":true,\"members\":["
-                          + member("s-1", fresh.address(), "Ready", 0)
-                          + "]}"));
+              request.respond(
+                  watchResponse(fullListJson(9, readyEndpointJson("s-1", fresh.address()))));
             });
-    discovery.next();
+    discovery.awaitRequest();
     node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
-    assertNotNull(discovery.ended.poll(60, TimeUnit.SECONDS), "the old watch must end");
-    assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
-    Socket client = client(node);
-    order(client, "t-1");
-    assertEquals("old", ScriptedServer.read(client).body());
+    assertNotNull(discovery.endedConnections.poll(60, TimeUnit.SECONDS), "the old watch must end");
+    assertTrue(elsewhere.awaitRequest().startLine().contains("watch=1&after=5"));
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    assertEquals("old", ScriptedServer.readMessage(client).body());
     go.complete(null);
-    assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
-    order(client, "t-2");
-    assertEquals("new", ScriptedServer.read(client).body());
+    assertNotNull(
+        old.endedConnections.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
+    writeKeyedRequest(client, "t-2");
+    assertEquals("new", ScriptedServer.readMessage(client).body());
   }
 
   /** Without a handler the signal ends the JVM: this needs a process of its own. */
   @Test
   void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
     Path file = folder.resolve("config.json");
-    ScriptedServer elsewhere = peer(m -> m.answer(UNCHANGED));
-    String config = config();
+    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    String config = configJson();
     Files.writeString(file, config);
     ProcessBuilder builder =
         new ProcessBuilder(
@@ -78,17 +68,17 @@
             .redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", file.toString());
     Process process = builder.start();
-    toClose.add(process::destroyForcibly);
+    resources.add(process::destroyForcibly);
     BufferedReader said =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     await(said, "serving on");
-    discovery.next();
+    discovery.awaitRequest();
     Files.writeString(file, "{");
     hangUp(process);
     await(said, "the configuration stays as it was");
     Files.writeString(file, config.replace(discovery.address(), elsewhere.address()));
     hangUp(process);
-    elsewhere.next();
+    elsewhere.awaitRequest();
     process.destroy();
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
--- a/src/test/java/merlinrouter/node/ScriptedServer.java
+++ b/src/test/java/merlinrouter/node/ScriptedServer.java
@@ -15,109 +15,149 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain
- * sockets.
+ * An HTTP/1.1 server on loopback whose responses a test scripts: an endpoint, discovery or the
+ * counter. Each connection has a thread of its own, on which the script runs.
  */
 public final class ScriptedServer implements AutoCloseable {
-  /** What came: the request line, the headers by lower-case name, the body. */
-  public record Message(String first, Map<String, String> headers, String body, Socket socket) {
-    void answer(String text) throws IOException {
-      socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-      socket.getOutputStream().flush();
-    }
-  }
+  /** The head of a response whose body follows in {@linkplain #chunk chunks}. */
+  static final String CHUNKED_RESPONSE_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** What a peer does with a message; it may answer, close the connection, or keep silent. */
-  public interface Script {
-    void on(Message message) throws IOException, InterruptedException;
-  }
+  private static final int MAX_ACCEPT_QUEUE = 50;
+
+  private static final long REQUEST_TIMEOUT_SECONDS = 30;
 
-  final BlockingQueue<Message> seen = new LinkedBlockingQueue<>();
-  final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
-  private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  /** The requests received, in the order of their last bytes. */
+  final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
+
+  /** The connections that the other side has ended. */
+  final BlockingQueue<Socket> endedConnections = new LinkedBlockingQueue<>();
+
+  private final ServerSocket listener =
+      new ServerSocket(0, MAX_ACCEPT_QUEUE, InetAddress.getLoopbackAddress());
 
   ScriptedServer(Script script) throws IOException {
-    daemon(
+    startThread(
         () -> {
           while (true) {
-            Socket socket = listening.accept();
-            daemon(
-                () -> {
-                  for (Message m = read(socket); m != null; m = read(socket)) {
-                    seen.add(m);
-                    script.on(m);
-                  }
-                  ended.add(socket);
-                });
+            Socket connection = listener.accept();
+            startThread(() -> serve(connection, script));
           }
         });
   }
 
-  private interface Work {
+  /** A request or a response; the headers by their lower-case names. */
+  public record Message(
+      String startLine, Map<String, String> headers, String body, Socket connection) {
+    String requestId() {
+      return headers.get("x-trace-id");
+    }
+
+    /** Writes these bytes to the connection that the message came from. */
+    void respond(String text) throws IOException {
+      connection.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+      connection.getOutputStream().flush();
+    }
+  }
+
+  /** What a server does with a request: it may respond, close the connection, or stay silent. */
+  public interface Script {
+    /** Called on the connection's thread; an exception ends the reading of the connection. */
+    void handle(Message request) throws IOException, InterruptedException;
+  }
+
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private static void daemon(Work work) {
+  private static void startThread(Task task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException | InterruptedException e) {
-                // The other side or the test is over.
+                // The connection or the test has ended.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
+  private void serve(Socket connection, Script script) throws IOException, InterruptedException {
+    Message request = readMessage(connection);
+    while (request != null) {
+      received.add(request);
+      script.handle(request);
+      request = readMessage(connection);
+    }
+    endedConnections.add(connection);
+  }
+
+  /** Where the server listens, as {@code host:port}. */
   public String address() {
-    return "127.0.0.1:" + listening.getLocalPort();
+    return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  public Message next() throws InterruptedException {
-    Message message = seen.poll(30, TimeUnit.SECONDS);
-    if (message == null) {
-      throw new AssertionError("nothing came");
+  /** Takes the next request; fails if none comes within 30 s. */
+  public Message awaitRequest() throws InterruptedException {
+    Message request = received.poll(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    if (request == null) {
+      throw new AssertionError("no request was received");
     }
-    return message;
+    return request;
+  }
+
+  /** A response with status 200; each of the header lines ends with CRLF. */
+  public static String okResponse(String headerLines, String body) {
+    return "HTTP/1.1 200 OK\r\n"
+        + headerLines
+        + "Content-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
   }
 
-  public static String ok(String headers, String body) {
-    return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+  /** A chunk of a body in chunked transfer encoding; the text is ASCII. */
+  public static String chunk(String text) {
+    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  /** Reads one message; null at the connection's end. */
-  public static Message read(Socket socket) throws IOException {
-    InputStream in = socket.getInputStream();
-    String first = line(in);
-    if (first == null) {
+  /** Reads a request or response with a length or without body; null at the connection's end. */
+  public static Message readMessage(Socket connection) throws IOException {
+    InputStream input = connection.getInputStream();
+    String startLine = readLine(input);
+    if (startLine == null) {
       return null;
     }
     Map<String, String> headers = new TreeMap<>();
-    for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+    String header = readLine(input);
+    while (header != null && !header.isEmpty()) {
       int colon = header.indexOf(':');
       headers.put(
           header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
+      header = readLine(input);
     }
-    int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-    return new Message(
-        first, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
+    int bodyBytes = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+    String body = new String(input.readNBytes(bodyBytes), StandardCharsets.UTF_8);
+    return new Message(startLine, headers, body, connection);
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream input) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
-    for (int b = in.read(); b != '\n'; b = in.read()) {
-      if (b < 0) {
+    int next = input.read();
+    while (next != '\n') {
+      if (next < 0) {
         return null;
       }
-      line.write(b);
+      line.write(next);
+      next = input.read();
     }
     return line.toString(StandardCharsets.UTF_8).trim();
   }
 
   @Override
   public void close() throws IOException {
-    listening.close();
+    listener.close();
   }
 }
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -30,18 +30,19 @@
 
   @Test
   void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
-    NodeConfig config = NodeConfigReader.parse(config(member("s-0", server.address(), "Ready", 0)));
+    ScriptedServer server = startOkServer("real");
+    NodeConfig config =
+        NodeConfigReader.parse(configJson(readyEndpointJson("s-0", server.address())));
     assertTrue(WarmUp.hold(config, 200, 60_000, folder) > 100);
-    assertNull(server.seen.poll());
-    assertNull(counter.seen.poll());
-    assertNull(discovery.seen.poll());
+    assertNull(server.received.poll());
+    assertNull(counter.received.poll());
+    assertNull(discovery.received.poll());
     assertEquals(0, left(), "it must leave no file");
   }
 
   @Test
   void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
-    NodeConfig config = NodeConfigReader.parse(config());
+    NodeConfig config = NodeConfigReader.parse(configJson());
     WarmUp.hold(config, Integer.MAX_VALUE, 1, folder);
     assertEquals(0, left());
     assertEquals(0, WarmUp.hold(config, 1, 60_000, folder.resolve("none")));
@@ -53,9 +54,9 @@
    */
   @Test
   void theProgramRehearsesBeforeItServes() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
+    ScriptedServer server = startOkServer("real");
     Path file = folder.resolve("config.json");
-    Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
+    Files.writeString(file, configJson(readyEndpointJson("s-0", server.address())));
     ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -67,7 +68,7 @@
     builder.environment().put("GW_CONFIG", file.toString());
     builder.environment().put("TMPDIR", folder.toString());
     Process process = builder.start();
-    toClose.add(process::destroyForcibly);
+    resources.add(process::destroyForcibly);
     BufferedReader said =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     String line = said.readLine();
@@ -81,7 +82,7 @@
     try (Socket client =
         new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
       client.setSoTimeout(60_000);
-      assertEquals("200", ask(client, "t-1"));
+      assertEquals("200", requestStatus(client, "t-1"));
     }
     process.destroy();
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
