--- a/src/main/java/merlinrouter/control/ConcurrencyController.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyController.java
@@ -68,8 +68,9 @@
   /** Adapts the limit to the number of ready endpoints. */
   public void endpointCountChanged(int readyEndpoints) {
     double previousLimit = limit;
-    double part = Math.max(MIN_LIMIT, MAX_IN_FLIGHT_PER_ENDPOINT * readyEndpoints / gatewayCount);
-    limit = wholeAboveOne(part);
+    double ownLimit =
+        Math.max(MIN_LIMIT, MAX_IN_FLIGHT_PER_ENDPOINT * readyEndpoints / gatewayCount);
+    limit = roundAboveOne(ownLimit);
     boolean atLimit = model.updates() == 0 || level >= previousLimit;
     level = atLimit ? limit : Math.min(level, limit);
   }
@@ -118,7 +119,7 @@
     previousInverseLatency = inverseLatency;
     saturated = false;
     next = Double.isFinite(next) ? Math.max(MIN_RELATIVE_LEVEL, Math.min(1, next)) : 1;
-    level = wholeAboveOne(next * limit);
+    level = roundAboveOne(next * limit);
   }
 
   /** Fits the model on changes: a level that did not vary says nothing of its effect. */
@@ -157,7 +158,7 @@
     return usable ? fitted : -inverseLatency / relativeLevel;
   }
 
-  private static double wholeAboveOne(double value) {
+  private static double roundAboveOne(double value) {
     return value > 1 ? Math.rint(value) : value;
   }
 }
--- a/src/main/java/merlinrouter/control/UtilityOptimizer.java
+++ b/src/main/java/merlinrouter/control/UtilityOptimizer.java
@@ -8,9 +8,9 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * Finds the outputs worth aiming at: hands out the shares in small grants, each to the class that
- * gains the most value from it. This is the greedy optimizer of the Proteus paper's figure 4, for
- * one gateway.
+ * Finds the outputs of the highest value: hands out the shares in small grants, each to the class
+ * that gains the most value from it. This is the greedy optimizer of the Proteus paper's figure 4,
+ * for one gateway.
  */
 final class UtilityOptimizer {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -88,7 +88,7 @@
       return new Grant(classIndex, share, gain / share);
     }
 
-    /** Value per interval of a class with an additional grant, late responses at their part. */
+    /** Value per interval of a class with an additional grant, late responses at their fraction. */
     private double utility(int classIndex, double grant) {
       double[] tried = shares.clone();
       tried[classIndex] += grant;
--- a/src/main/java/merlinrouter/loadbalancing/GroupStatistics.java
+++ b/src/main/java/merlinrouter/loadbalancing/GroupStatistics.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Mean latency by machine type and mean error rate by zone. A gateway that hears little of a single
- * endpoint goes by what it hears of others like it.
+ * Mean latency by machine type and mean error rate by zone. A gateway with few attempts on a single
+ * endpoint relies on those on similar endpoints.
  */
 final class GroupStatistics {
   /** Weight of an attempt, divided by the number of endpoints. */
--- a/src/main/java/merlinrouter/loadbalancing/LoadReports.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadReports.java
@@ -33,7 +33,7 @@
     tracker.loadReported(load);
   }
 
-  /** An endpoint without a report is not idle: it is taken to be busier than most. */
+  /** An endpoint without a report is not idle: it is assumed to be busier than the mean. */
   private double assumedLoad() {
     return 1 + 2 * meanLoad;
   }
--- a/src/main/java/merlinrouter/queue/LoadShedder.java
+++ b/src/main/java/merlinrouter/queue/LoadShedder.java
@@ -11,10 +11,10 @@
  * @param <R> the type of the requests
  */
 public final class LoadShedder<R extends QueuedRequest> {
-  /** A queued request needs up to this many service times beside its wait. */
+  /** Of the objective, this many service times are left for the attempt itself. */
   private static final double SERVICE_TIMES_RESERVED = 2;
 
-  /** A queue may always wait for this part of the objective. */
+  /** A queue may always wait for this fraction of the objective. */
   private static final double MIN_WAIT_PER_OBJECTIVE = 1.0 / 4;
 
   private final FairQueue<R> fairQueue;
@@ -42,7 +42,9 @@
     return least;
   }
 
-  /** The class's part of the gateway's throughput among the classes that have requests waiting. */
+  /**
+   * The class's fraction of the gateway's throughput among the classes that have requests waiting.
+   */
   private double releasesPerSecond(ClassQueue<R> queue) {
     double backloggedShares = 0;
     for (ClassQueue<R> each : fairQueue.queues()) {
--- a/src/main/java/merlinrouter/queue/QueuedRequest.java
+++ b/src/main/java/merlinrouter/queue/QueuedRequest.java
@@ -8,6 +8,6 @@
   /** The fair queue's virtual time when the request arrived. */
   double arrivalVirtualTime();
 
-  /** What serving it is worth; the least valuable requests are shed first. */
+  /** Value of serving it; the least valuable requests are shed first. */
   double value();
 }
--- a/src/main/java/merlinrouter/quota/AdmissionListener.java
+++ b/src/main/java/merlinrouter/quota/AdmissionListener.java
@@ -1,6 +1,6 @@
 package merlinrouter.quota;
 
-/** Hears what becomes of requests for admission; may be called from within a call to the module. */
+/** Is notified of decisions on admission, possibly from within the call that asked for one. */
 public interface AdmissionListener {
   /** The request may be queued. */
   void admitted(QuotaReservation reservation);
@@ -11,6 +11,6 @@
   /** The decision waits for the counter; one of the other methods is called later. */
   void deferred(QuotaReservation reservation);
 
-  /** The counter has answered for a request that was abandoned meanwhile. */
+  /** The counter has answered for a request whose client has disconnected. */
   void abandoned(QuotaReservation reservation);
 }
--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -23,7 +23,7 @@
   /** Calls per second while the counter is silent. */
   private static final double SILENT_CALLS_PER_SECOND = 1;
 
-  /** While calls are answered the rate does not fall below this part of its initial value. */
+  /** While calls are answered the rate does not fall below this fraction of its initial value. */
   private static final double MIN_ANSWERED_FRACTION = 1.0 / 4;
 
   private static final double MIN_UNANSWERED_CALLS_PER_SECOND = 1;
@@ -34,7 +34,7 @@
    */
   private static final double GAIN_PER_SECOND = 1;
 
-  /** The rate is steady where calls take this part of their timeout. */
+  /** The rate is steady where calls take this fraction of their timeout. */
   private static final double TARGET_TIMEOUT_FRACTION = 0.5;
 
   /** Bound on how strongly a slow call lowers the rate. */
--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -27,10 +27,10 @@
   /** Shorter times between two totals say too little of a rate. */
   private static final double MIN_RATE_SECONDS = 0.05;
 
-  /** The others' rate is taken to be at most this many times the quota's rate. */
+  /** Bound on the estimate of the others' rate, as a multiple of the quota's rate. */
   private static final double MAX_OTHERS_RATE_FACTOR = 2;
 
-  /** The reported fraction is not taken to be lower than this. */
+  /** Lower bound on the reported fraction, which divides what a total shows. */
   private static final double MIN_REPORTED_FRACTION = 0.1;
 
   /** A total below the own use by more than this shows that the counter lost counts. */
@@ -127,8 +127,8 @@
    * @param reportedNow the units that were reported with the call that returned the total
    * @param total the counter's total, in units
    * @param unreportedUnits own use that has not been reported
-   * @param reportedFraction the reported part of the use; the other gateways are taken to report
-   *     the same fraction
+   * @param reportedFraction the reported fraction of own use; the others are assumed to report the
+   *     same fraction
    */
   void learnTotal(
       double reportedNow, double total, double unreportedUnits, double reportedFraction) {
@@ -179,7 +179,7 @@
 
   /**
    * Divides the quota among the gateways where the last total is too old. The part is at least one
-   * request, since a smaller part would reject all customers who come rarely.
+   * request, since a smaller part would reject all requests of customers with little traffic.
    */
   void divideIfStale() {
     if (gateways <= 1 || clock.nanosSince(totalAtNanos) <= windowNanos) {
@@ -197,7 +197,7 @@
     return divided;
   }
 
-  /** Whether a total is old enough that another one is worth asking for. */
+  /** Whether the last total is so old that a new one is needed for a reliable decision. */
   boolean needsTotal() {
     return clock.nanosSince(totalAtNanos) > windowNanos / TOTALS_PER_WINDOW;
   }
--- a/src/main/java/merlinrouter/quota/PlanUsage.java
+++ b/src/main/java/merlinrouter/quota/PlanUsage.java
@@ -32,7 +32,7 @@
     reportedUnits += units;
   }
 
-  /** The reported part of the admitted units; 1 before anything was admitted. */
+  /** The reported fraction of the admitted units; 1 before anything was admitted. */
   double reportedFraction() {
     return (Math.max(0, reportedUnits) + smoothingUnits) / (admittedUnits + smoothingUnits);
   }
--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -19,7 +19,7 @@
   /** How often use is reported otherwise. */
   private static final long RELAXED_REPORT_INTERVAL_NANOS = Nanos.PER_SECOND;
 
-  /** How long an account is kept after its last use, beside the windows that it still counts in. */
+  /** How long an account is kept after its last use, in addition to two windows. */
   private static final long RETENTION_NANOS = 30 * Nanos.PER_SECOND;
 
   /** Less unreported use than this is rounding. */
--- a/src/main/java/merlinrouter/quota/QuotaContext.java
+++ b/src/main/java/merlinrouter/quota/QuotaContext.java
@@ -13,7 +13,7 @@
  * @param clock the time
  * @param random the gateway's source of randomness
  * @param calls the calls to the shared counter
- * @param listener hears the decisions on admission
+ * @param listener is notified of decisions on admission
  * @param accountsToReport accounts with use that has not been reported to the counter
  */
 record QuotaContext(
--- a/src/main/java/merlinrouter/quota/QuotaManager.java
+++ b/src/main/java/merlinrouter/quota/QuotaManager.java
@@ -16,7 +16,7 @@
 
 /**
  * Decides on the admission of requests by their customers' quotas. Used by one thread; decisions
- * are told to an {@link AdmissionListener}.
+ * are reported to an {@link AdmissionListener}.
  */
 public final class QuotaManager {
   private final Map<Long, QuotaAccount> accounts = new LinkedHashMap<>();
@@ -66,7 +66,7 @@
     return new QuotaReservation(account, request, requestClass, objectiveAtNanos);
   }
 
-  /** Decides on a request, or has the counter asked first; the listener hears which. */
+  /** Decides on a request, or calls the counter first; the listener is notified in either case. */
   public void admit(QuotaReservation reservation) {
     reservation.account().admit(reservation);
   }
--- a/src/main/java/merlinrouter/retry/DeadlinePolicy.java
+++ b/src/main/java/merlinrouter/retry/DeadlinePolicy.java
@@ -24,7 +24,7 @@
    * Creates a policy.
    *
    * @param timerIntervalNanos how often queued requests are looked at; a request that expires
-   *     between two looks has to be answered at the first
+   *     between two checks has to be answered at the first
    */
   public DeadlinePolicy(GatewaySettings settings, EventClock clock, long timerIntervalNanos) {
     this.clock = clock;
@@ -42,7 +42,7 @@
     return clock.nowNanos() + Math.max(serviceNanos, minNeededNanos) >= objectiveAtNanos;
   }
 
-  /** How long an attempt may take: no longer than a response is worth something. */
+  /** How long an attempt may take: no longer than a response has any value. */
   public long attemptTimeoutNanos(
       RequestClass requestClass, long objectiveAtNanos, long deadlineNanos) {
     boolean lateIsWorthless = requestClass.lateValueFraction() <= 0;
--- a/src/main/java/merlinrouter/retry/RetryBudget.java
+++ b/src/main/java/merlinrouter/retry/RetryBudget.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits retries to a fraction of the first attempts, so that retries cannot multiply the load of a
- * fleet in trouble. A retry of an attempt that was surely not executed is free.
+ * failing fleet. A retry of an attempt that was surely not executed is free.
  */
 public final class RetryBudget {
   private static final double RETRIES_PER_FIRST_ATTEMPT = 0.2;
--- a/src/main/java/merlinrouter/retry/RetryPolicy.java
+++ b/src/main/java/merlinrouter/retry/RetryPolicy.java
@@ -8,7 +8,7 @@
 
 /** Decides whether a request may be attempted again. */
 public final class RetryPolicy {
-  /** A retry is worth starting if this part of the mean service time is left to the objective. */
+  /** A retry needs this fraction of the mean service time to be left to the objective. */
   private static final double MIN_TIME_LEFT_PER_SERVICE = 1.0 / 2;
 
   private final RequestLimits limits;
--- a/src/main/java/merlinrouter/settings/GatewaySettings.java
+++ b/src/main/java/merlinrouter/settings/GatewaySettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a gateway is told at its start.
+ * The settings of a gateway, which hold from its start to its end.
  *
  * @param gatewayNumber its number, from 0
  * @param gatewayCount how many gateways the fleet has, at least 1
--- a/src/main/java/merlinrouter/settings/RequestLimits.java
+++ b/src/main/java/merlinrouter/settings/RequestLimits.java
@@ -6,8 +6,8 @@
  * @param maxAttempts most attempts of one request
  * @param maxOpenRequests most requests that a gateway may hold; read, not enforced
  * @param healthChecks whether endpoints may be checked actively
- * @param retryAfter whether clients heed Retry-After; read, not used: it is always sent
- * @param maxRetryAfterNanos the longest such time that clients heed
+ * @param retryAfter whether clients honour Retry-After; read, not used: it is always sent
+ * @param maxRetryAfterNanos the longest such time that clients honour
  * @param endpointSubscription whether updates of the endpoint list must be subscribed to
  * @param connectTimeoutNanos how long an attempt may wait for its connection
  */
