--- a/src/test/java/merlinrouter/node/DeploymentTest.java
+++ b/src/test/java/merlinrouter/node/DeploymentTest.java
@@ -5,169 +5,147 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.io.BufferedReader;
-import java.io.InputStreamReader;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.Map;
+import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The command that the deploy file starts a node with, on the classes at hand instead of the jar.
- */
+/** The deploy file's command, with the test's classes in place of the jar. */
 @Timeout(120)
 class DeploymentTest extends NodeFixture {
-  private static final int FLEET = 1_024;
+  private static final int FLEET_ENDPOINTS = 1_024;
+  private static final int FLEET_NODES = 120;
+  private static final int LIST_CHUNK_BYTES = 4_096;
+  private static final int MAX_REQUESTS_UNTIL_LISTED = 1_000;
+  private static final int MAX_DESCRIPTORS = 256;
+  private static final int IDLE_CLIENTS = 400;
+  private static final long MAX_TEST_SECONDS = 90;
 
   @TempDir Path folder;
 
-  private static String run() throws Exception {
+  private static String runCommand() throws Exception {
     String line =
         Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(l -> l.startsWith("run = "))
+            .filter(setting -> setting.startsWith("run = "))
             .findFirst()
             .orElseThrow();
     String command = line.substring("run = \"".length(), line.length() - 1);
-    String onClasses =
+    String commandOnClasses =
         command
             .replace("-jar target/merlinrouter.jar", "-cp \"$CLASSES\" merlinrouter.Main")
             .replaceFirst(" -XX:SharedArchiveFile=\\S+", "");
-    assertTrue(onClasses.contains("$CLASSES") && onClasses.startsWith("exec "), command);
-    return onClasses;
+    assertTrue(
+        commandOnClasses.contains("$CLASSES") && commandOnClasses.startsWith("exec "), command);
+    return commandOnClasses;
   }
 
-  /**
-   * A JVM takes no handler for a hang-up that it was started to ignore, and so was deaf to every
-   * move.
-   */
+  private NodeProcess startScript(String script, Path configFile) throws IOException {
+    NodeProcess process = NodeProcess.startScript(script, configFile);
+    resources.add(process);
+    return process;
+  }
+
+  /** A JVM that was started with SIGHUP ignored sets no handler for it. */
   @Test
-  void aHangUpIsHeardThoughTheNodeWasStartedToIgnoreIt() throws Exception {
+  void hangupReloadsThoughIgnoredAtTheStart() throws Exception {
     Path file = folder.resolve("config.json");
-    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
     String config = configJson();
     Files.writeString(file, config);
-    ProcessBuilder builder =
-        new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; " + run()).redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    builder.environment().put("CLASSES", System.getProperty("java.class.path"));
-    Process process = builder.start();
-    resources.add(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    ReloadTest.await(said, "serving on");
+    NodeProcess process = startScript("trap '' HUP; " + runCommand(), file);
+    process.awaitServing();
     discovery.awaitRequest();
-    Files.writeString(file, config.replace(discovery.address(), elsewhere.address()));
-    ReloadTest.hangUp(process);
-    elsewhere.awaitRequest();
-    assertEquals(0, process.descendants().count(), "one process, which began no other");
-    process.destroy();
-    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(0, process.exitValue());
+    Files.writeString(file, config.replace(discovery.address(), newDiscovery.address()));
+    process.sendHangup();
+    newDiscovery.awaitRequest();
+    assertEquals(0, process.childCount(), "the command must run in one process");
+    assertEquals(0, process.terminate());
   }
 
-  /**
-   * Kept from being read as the node is made: the file is a pipe, which is read when it is written
-   * to.
-   */
+  /** The configuration is a named pipe, so that the test decides when it has been read. */
   @Test
-  void aHangUpWhileTheFileIsReadHasItReadAgain() throws Exception {
+  void hangupWhileConfigurationIsReadHasItReadAgain() throws Exception {
     Path file = folder.resolve("config.pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
     String config = configJson();
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run()).redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    builder.environment().put("CLASSES", System.getProperty("java.class.path"));
-    Process process = builder.start();
-    resources.add(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    NodeProcess process = startScript(runCommand(), file);
     Files.writeString(file, config);
-    ReloadTest.await(said, "rehearsed with");
-    // Opening a pipe to write waits for its reader, so the node is in its second reading now.
-    try (var writing = Files.newOutputStream(file)) {
-      ReloadTest.hangUp(process);
-      ReloadTest.await(said, "the configuration will be read again");
-      // Whoever opens the name from now on reads the new file; the pipe's reader has the old one.
+    process.awaitLine(NodeProcess.WARMED_UP);
+    // Opening a pipe for writing waits for its reader: the node has begun its second read.
+    try (var pipe = Files.newOutputStream(file)) {
+      process.sendHangup();
+      process.awaitLine(NodeProcess.RELOAD_POSTPONED);
+      // Who opens the name from now on reads the new file; the second read goes on with the pipe.
       Path changed =
           Files.writeString(
-              folder.resolve("changed"), config.replace(discovery.address(), elsewhere.address()));
+              folder.resolve("changed"),
+              config.replace(discovery.address(), newDiscovery.address()));
       Files.move(changed, file, StandardCopyOption.ATOMIC_MOVE);
-      writing.write(config.getBytes(StandardCharsets.UTF_8));
+      pipe.write(config.getBytes(StandardCharsets.UTF_8));
     }
-    elsewhere.awaitRequest();
-    process.destroy();
-    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+    newDiscovery.awaitRequest();
+    process.terminate();
   }
 
-  private static String each(int from, int to, String phase, ScriptedServer last) {
-    StringBuilder members = new StringBuilder();
-    for (int i = from; i < to; i++) {
+  private static String[] fleet(int endpoints, String phase, ScriptedServer last) {
+    String[] entries = new String[endpoints];
+    for (int i = 0; i < endpoints; i++) {
       String address =
-          i == FLEET - 1 ? last.address() : "127.1." + i / 250 + "." + (1 + i % 250) + ":8081";
-      members
-          .append(i > from ? "," : "")
-          .append(endpointJson("a-server-of-a-large-fleet-" + i, address, phase, 0));
+          i == FLEET_ENDPOINTS - 1
+              ? last.address()
+              : "127.1." + i / 250 + "." + (1 + i % 250) + ":8081";
+      entries[i] = endpointJson("a-server-of-a-large-fleet-" + i, address, phase, 0);
+    }
+    return entries;
+  }
+
+  /** Sends the whole fleet, indented and in many chunks, then the removal of all but the last. */
+  private static void sendFleetAndRemovals(ScriptedServer.Message watch, ScriptedServer last)
+      throws IOException {
+    watch.respond(ScriptedServer.CHUNKED_RESPONSE_HEAD);
+    String list =
+        new ObjectMapper()
+            .readTree(fullListJson(6, fleet(FLEET_ENDPOINTS, "Ready", last)))
+            .toPrettyString()
+            .replace("\n", "\n        ");
+    for (int start = 0; start < list.length(); start += LIST_CHUNK_BYTES) {
+      int end = Math.min(list.length(), start + LIST_CHUNK_BYTES);
+      watch.respond(ScriptedServer.chunk(list.substring(start, end)));
     }
-    return members.toString();
+    String removals = updateJson(7, fleet(FLEET_ENDPOINTS - 1, "Gone", last));
+    watch.respond(ScriptedServer.chunk("\n" + removals + "\n"));
   }
 
-  /**
-   * As many as no cap may fall under, beside 119 other nodes: known, told at full length and taken
-   * away again.
-   */
+  /** The largest fleet that no limit may exclude must fit the heap that the command sets. */
   @Test
-  void aFleetOf1024ServersAnd120NodesFitsWhatRunGivesIt() throws Exception {
+  void fleetOf1024EndpointsAnd120NodesFitsTheHeap() throws Exception {
     ScriptedServer server = startOkServer("x");
     Path file = folder.resolve("config.json");
-    discovery =
-        startServer(
-            request -> {
-              request.respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-              String whole =
-                  new ObjectMapper()
-                      .readTree(
-                          "{\"revision\":6,\"complete\":true,\"members\":["
-                              + each(0, FLEET, "Ready", server)
-                              + "]}")
-                      .toPrettyString()
-                      .replace("\n", "\n        ");
-              for (int at = 0; at < whole.length(); at += 4_096) {
-                request.respond(
-                    ScriptedServer.chunk(
-                        whole.substring(at, Math.min(whole.length(), at + 4_096))));
-              }
-              request.respond(
-                  ScriptedServer.chunk(
-                      "\n{\"revision\":7,\"complete\":false,\"members\":["
-                          + each(0, FLEET - 1, "Gone", server)
-                          + "]}\n"));
-            });
+    discovery = startServer(request -> sendFleetAndRemovals(request, server));
     Files.writeString(
         file,
-        configJson(each(0, FLEET, "Ready", server))
-            .replace("\"siblings\": 2", "\"siblings\": 120"));
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run()).redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    builder.environment().put("CLASSES", System.getProperty("java.class.path"));
-    Process process = builder.start();
-    resources.add(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String[] at = ReloadTest.await(said, "serving on").replaceAll(".*/", "").split(":");
-    Socket client = new Socket(at[0], Integer.parseInt(at[1]));
+        configJson(fleet(FLEET_ENDPOINTS, "Ready", server))
+            .replace("\"siblings\": 2", "\"siblings\": " + FLEET_NODES));
+    NodeProcess process = startScript(runCommand(), file);
+    Socket client = connect(process.awaitServing());
     resources.add(client);
-    // Only who has read both lists to their ends knows that none but the last server is left.
+    // Requests are served for certain only when both the list and the update have been read.
     String status = "";
-    for (int i = 0; i < 1_000 && !status.equals("200"); i++) {
+    for (int i = 0; i < MAX_REQUESTS_UNTIL_LISTED && !status.equals("200"); i++) {
       status = requestStatus(client, "f-" + i);
     }
     for (int i = 0; i < 20; i++) {
@@ -175,76 +153,67 @@
     }
   }
 
-  /**
-   * Idle clients come as long as discovery is down; what the node needs for itself is not theirs to
-   * take.
-   */
+  /** While discovery is silent, idle clients must leave the descriptors that the node needs. */
   @Test
-  void idleClientsThatFillTheDescriptorsLeaveRoomForListCounterAndServers() throws Exception {
+  void idleClientsLeaveDescriptorsForDiscoveryCounterAndEndpoints() throws Exception {
     ScriptedServer server = startOkServer("x");
-    CompletableFuture<Void> back = new CompletableFuture<>();
-    CompletableFuture<Void> asked = new CompletableFuture<>();
+    CompletableFuture<Void> discoveryBack = new CompletableFuture<>();
+    CompletableFuture<Void> counterCalled = new CompletableFuture<>();
     counterScript =
         request -> {
-          asked.complete(null);
+          counterCalled.complete(null);
           request.respond(ScriptedServer.okResponse("", "1"));
         };
     discovery =
         startServer(
             request -> {
-              back.join();
-              request.respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+              discoveryBack.join();
               request.respond(
-                  ScriptedServer.chunk(
-                      "{\"revision\":6,\"complete\":true,\"members\":["
-                          + readyEndpointJson("s-1", server.address())
-                          + "]}\n"));
+                  watchResponse(fullListJson(6, readyEndpointJson("s-1", server.address()))));
             });
     Path file = folder.resolve("config.json");
-    Files.writeString(file, configJson().replace("\"sockets\": 1024", "\"sockets\": 256"));
-    ProcessBuilder builder =
-        new ProcessBuilder("/bin/sh", "-c", "ulimit -n 256; " + run()).redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    builder.environment().put("CLASSES", System.getProperty("java.class.path"));
-    Process process = builder.start();
-    resources.add(process::destroyForcibly);
-    // A node that hangs is ended, so that what waits for its word fails.
-    CompletableFuture.delayedExecutor(90, TimeUnit.SECONDS).execute(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String[] at = ReloadTest.await(said, "serving on").replaceAll(".*/", "").split(":");
-    StringBuilder lines = new StringBuilder();
-    Thread reading =
-        new Thread(
-            () ->
-                said.lines()
-                    .forEach(
-                        line -> {
-                          synchronized (lines) {
-                            lines.append(line).append('\n');
-                          }
-                        }));
-    reading.setDaemon(true);
-    reading.start();
-    InetSocketAddress node = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
-    for (int i = 0; i < 400; i++) {
-      resources.add(connect(node));
+    Files.writeString(
+        file, configJson().replace("\"sockets\": 1024", "\"sockets\": " + MAX_DESCRIPTORS));
+    NodeProcess process = startScript("ulimit -n " + MAX_DESCRIPTORS + "; " + runCommand(), file);
+    // A node that hangs is killed, so that the reads below fail instead of waiting.
+    CompletableFuture.delayedExecutor(MAX_TEST_SECONDS, TimeUnit.SECONDS).execute(process::close);
+    InetSocketAddress node = process.awaitServing();
+    BlockingQueue<String> lines = collectLines(process);
+    for (int i = 0; i < IDLE_CLIENTS; i++) {
+      openIdleClient(node);
     }
-    back.complete(null);
+    discoveryBack.complete(null);
+    requestUntilServed(node);
+    counterCalled.get();
+    List<String> written = new ArrayList<>(lines);
+    assertFalse(written.stream().anyMatch(line -> line.contains("open files")), written::toString);
+  }
+
+  /** Reads the process's output on a thread of its own, so that the process never waits for it. */
+  private static BlockingQueue<String> collectLines(NodeProcess process) {
+    BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    Thread reader = new Thread(() -> process.lines().forEach(lines::add));
+    reader.setDaemon(true);
+    reader.start();
+    return lines;
+  }
+
+  private Socket openIdleClient(InetSocketAddress node) throws IOException {
+    Socket client = connect(node);
+    resources.add(client);
+    return client;
+  }
+
+  /** Sends requests, each on a new connection and beside one more idle client, until one is 200. */
+  private void requestUntilServed(InetSocketAddress node) throws IOException {
     String status = "";
     for (int i = 0; !status.equals("200"); i++) {
-      // Each on a connection of its own, beside one more idle one.
-      resources.add(connect(node));
-      Socket usual = connect(node);
-      resources.add(usual);
+      openIdleClient(node);
+      Socket client = openIdleClient(node);
       Map<String, String> headers = requestHeaders("u-" + i, "order", "20000");
       headers.put("X-Quota", "units=1,spread=2,first=0");
-      writeRequest(usual, "POST /api", headers, "book");
-      status = readStatus(usual);
-    }
-    asked.get();
-    synchronized (lines) {
-      assertFalse(lines.toString().contains("open files"), lines.toString());
+      writeRequest(client, "POST /api", headers, "book");
+      status = readStatus(client);
     }
   }
 }
--- /dev/null
+++ b/src/test/java/merlinrouter/node/NodeProcess.java
@@ -0,0 +1,120 @@
+package merlinrouter.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
+
+/** The program in a process of its own, whose signals and output lines a test can use. */
+final class NodeProcess implements AutoCloseable {
+  /** Starts of the lines that the program writes. */
+  static final String SERVING = "serving on ";
+
+  static final String WARMED_UP = "rehearsed with ";
+  static final String RELOAD_POSTPONED = "the configuration will be read again";
+  static final String RELOAD_FAILED = "the configuration stays as it was";
+
+  private static final long EXIT_TIMEOUT_SECONDS = 60;
+
+  private final Process process;
+  private final BufferedReader output;
+
+  private NodeProcess(Process process) {
+    this.process = process;
+    output =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+  }
+
+  /** Starts the program from the test's class path, with no flags of the JVM. */
+  static NodeProcess start(Path configFile, Map<String, String> environment) throws IOException {
+    List<String> command =
+        List.of(
+            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+            "-cp",
+            System.getProperty("java.class.path"),
+            "merlinrouter.Main",
+            "serve");
+    return start(command, configFile, environment);
+  }
+
+  /** Starts a shell script that may take the test's class path from {@code $CLASSES}. */
+  static NodeProcess startScript(String script, Path configFile) throws IOException {
+    return start(
+        List.of("/bin/sh", "-c", script),
+        configFile,
+        Map.of("CLASSES", System.getProperty("java.class.path")));
+  }
+
+  private static NodeProcess start(
+      List<String> command, Path configFile, Map<String, String> environment) throws IOException {
+    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+    builder.environment().put("GW_CONFIG", configFile.toString());
+    builder.environment().putAll(environment);
+    return new NodeProcess(builder.start());
+  }
+
+  /** Reads the next line of standard output or error; null at the end. */
+  String readLine() throws IOException {
+    return output.readLine();
+  }
+
+  /** The lines not read yet; the stream waits for further ones until the process ends. */
+  Stream<String> lines() {
+    return output.lines();
+  }
+
+  /** Skips lines until one starts with {@code start}, and returns it. */
+  String awaitLine(String start) throws IOException {
+    String line = readLine();
+    while (line != null && !line.startsWith(start)) {
+      line = readLine();
+    }
+    assertNotNull(line, "the process ended before it wrote: " + start);
+    return line;
+  }
+
+  /** Waits until the node serves and returns where. */
+  InetSocketAddress awaitServing() throws IOException {
+    return addressOf(awaitLine(SERVING));
+  }
+
+  /** The address in a line that starts with {@link #SERVING}. */
+  static InetSocketAddress addressOf(String line) {
+    String[] hostAndPort = line.replaceAll(".*/", "").split(":");
+    return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
+  }
+
+  /** Sends SIGHUP. */
+  void sendHangup() throws IOException, InterruptedException {
+    Process kill = new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start();
+    assertEquals(0, kill.waitFor());
+  }
+
+  /** How many processes the program has started that still run. */
+  long childCount() {
+    return process.descendants().count();
+  }
+
+  /** Sends SIGTERM and returns the exit status. */
+  int terminate() throws InterruptedException {
+    process.destroy();
+    assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "SIGTERM had no effect");
+    return process.exitValue();
+  }
+
+  /** Kills the process if it still runs. */
+  @Override
+  public void close() {
+    process.destroyForcibly();
+  }
+}
--- a/src/test/java/merlinrouter/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -4,13 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
-import java.io.IOException;
-import java.io.InputStreamReader;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.node.config.NodeConfigReader;
@@ -24,77 +21,53 @@
   @TempDir Path folder;
 
   @Test
-  void theOldListServesUntilTheNewWatchSpeaks() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    ScriptedServer old = startOkServer("old");
-    ScriptedServer fresh = startOkServer("new");
-    String config = configJson(readyEndpointJson("s-0", old.address()));
+  void previousListIsUsedUntilNewWatchSendsOne() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
+    ScriptedServer previous = startOkServer("old");
+    ScriptedServer added = startOkServer("new");
+    String config = configJson(readyEndpointJson("s-0", previous.address()));
     EdgeNode node = startNode(config);
-    ScriptedServer elsewhere =
+    ScriptedServer newDiscovery =
         startServer(
             request -> {
-              go.join();
+              proceed.join();
               request.respond(
-                  watchResponse(fullListJson(9, readyEndpointJson("s-1", fresh.address()))));
+                  watchResponse(fullListJson(9, readyEndpointJson("s-1", added.address()))));
             });
     discovery.awaitRequest();
-    node.reload(NodeConfigReader.parse(config.replace(discovery.address(), elsewhere.address())));
-    assertNotNull(discovery.endedConnections.poll(60, TimeUnit.SECONDS), "the old watch must end");
-    assertTrue(elsewhere.awaitRequest().startLine().contains("watch=1&after=5"));
+    node.reload(
+        NodeConfigReader.parse(config.replace(discovery.address(), newDiscovery.address())));
+    assertNotNull(
+        discovery.endedConnections.poll(60, TimeUnit.SECONDS), "the previous watch must end");
+    assertTrue(newDiscovery.awaitRequest().startLine().contains("watch=1&after=5"));
     Socket client = connect(node);
     writeKeyedRequest(client, "t-1");
     assertEquals("old", ScriptedServer.readMessage(client).body());
-    go.complete(null);
+    proceed.complete(null);
     assertNotNull(
-        old.endedConnections.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
+        previous.endedConnections.poll(60, TimeUnit.SECONDS),
+        "connections to an endpoint that the new list leaves out must be closed");
     writeKeyedRequest(client, "t-2");
     assertEquals("new", ScriptedServer.readMessage(client).body());
   }
 
-  /** Without a handler the signal ends the JVM: this needs a process of its own. */
+  /** SIGHUP ends a JVM that has no handler for it, so the node runs in a process of its own. */
   @Test
-  void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
+  void hangupReloadsConfigurationAndInvalidFileChangesNothing() throws Exception {
     Path file = folder.resolve("config.json");
-    ScriptedServer elsewhere = startServer(request -> request.respond(UNCHANGED_LIST));
+    ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
     String config = configJson();
     Files.writeString(file, config);
-    ProcessBuilder builder =
-        new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "merlinrouter.Main",
-                "serve")
-            .redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    Process process = builder.start();
-    resources.add(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    await(said, "serving on");
+    NodeProcess process = NodeProcess.start(file, Map.of());
+    resources.add(process);
+    process.awaitServing();
     discovery.awaitRequest();
     Files.writeString(file, "{");
-    hangUp(process);
-    await(said, "the configuration stays as it was");
-    Files.writeString(file, config.replace(discovery.address(), elsewhere.address()));
-    hangUp(process);
-    elsewhere.awaitRequest();
-    process.destroy();
-    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(0, process.exitValue());
-  }
-
-  static String await(BufferedReader said, String start) throws IOException {
-    String line = said.readLine();
-    while (line != null && !line.startsWith(start)) {
-      line = said.readLine();
-    }
-    assertNotNull(line, "the process ended before it said: " + start);
-    return line;
-  }
-
-  static void hangUp(Process process) throws Exception {
-    assertEquals(
-        0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+    process.sendHangup();
+    process.awaitLine(NodeProcess.RELOAD_FAILED);
+    Files.writeString(file, config.replace(discovery.address(), newDiscovery.address()));
+    process.sendHangup();
+    newDiscovery.awaitRequest();
+    assertEquals(0, process.terminate());
   }
 }
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -4,13 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
-import java.io.InputStreamReader;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.TimeUnit;
+import java.util.Map;
 import java.util.stream.Stream;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.config.NodeConfigReader;
@@ -57,36 +54,20 @@
     ScriptedServer server = startOkServer("real");
     Path file = folder.resolve("config.json");
     Files.writeString(file, configJson(readyEndpointJson("s-0", server.address())));
-    ProcessBuilder builder =
-        new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "merlinrouter.Main",
-                "serve")
-            .redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    builder.environment().put("TMPDIR", folder.toString());
-    Process process = builder.start();
-    resources.add(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String line = said.readLine();
-    while (line != null && !line.startsWith("rehearsed with")) {
-      assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
-      line = said.readLine();
+    NodeProcess process = NodeProcess.start(file, Map.of("TMPDIR", folder.toString()));
+    resources.add(process);
+    String line = process.readLine();
+    while (line != null && !line.startsWith(NodeProcess.WARMED_UP)) {
+      assertTrue(!line.startsWith(NodeProcess.SERVING), "it serves without a warm-up");
+      line = process.readLine();
     }
     assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
-    line = said.readLine();
-    assertTrue(line.startsWith("serving on"), line);
-    try (Socket client =
-        new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
-      client.setSoTimeout(60_000);
+    line = process.readLine();
+    assertTrue(line.startsWith(NodeProcess.SERVING), line);
+    try (Socket client = connect(NodeProcess.addressOf(line))) {
       assertEquals("200", requestStatus(client, "t-1"));
     }
-    process.destroy();
-    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(0, process.exitValue());
+    assertEquals(0, process.terminate());
     assertEquals(1, left(), "only the configuration is left");
   }
 }
