--- /dev/null
+++ b/src/test/java/merlinrouter/node/ClientRaceTest.java
@@ -0,0 +1,233 @@
+package merlinrouter.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * A client disconnects or pipelines requests while a request of it is in flight. Most tests end
+ * with a request of another client, which must be the next that the endpoint receives.
+ */
+@Timeout(120)
+class ClientRaceTest extends EventLoopFixture {
+  private static final String NOT_EXECUTED_RESPONSE =
+      "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
+
+  private static final int MAX_HELD_BYTES = 600_000;
+
+  /** A configuration in which a call to the counter may take 4 s. */
+  private String slowCounterConfig(ScriptedServer server) throws IOException {
+    return withSetting(
+        configJson(readyEndpointJson("s-0", server.address())), "count-wait-ns", 4_000_000_000L);
+  }
+
+  /** The headers of a request for which the counter is called. */
+  private static Map<String, String> countedRequestHeaders(String requestId) {
+    Map<String, String> headers = requestHeaders(requestId, "order", "20000");
+    headers.put("X-Quota", "units=1,spread=2,first=0");
+    return headers;
+  }
+
+  private void letCounterRespondAfter(CompletableFuture<Void> proceed) {
+    counterScript =
+        request -> {
+          proceed.join();
+          request.respond(ScriptedServer.okResponse("", "1"));
+        };
+  }
+
+  /** A connect may take longer than a request may be sent after its client has disconnected. */
+  @Test
+  void requestIsNotSentIfClientDisconnectsDuringConnect() throws Exception {
+    FullBacklogServer server = new FullBacklogServer();
+    resources.add(server);
+    EdgeNode node =
+        startNode(
+            withSetting(
+                configJson(readyEndpointJson("s-0", server.address())),
+                "connect-timeout-ns",
+                60_000_000_000L));
+    Socket client = connect(node);
+    writeIdempotentRequest(client, "t-1");
+    awaitOnEventLoop(node, () -> node.pool().connections() == 1);
+    client.close();
+    awaitAllDisconnected(node);
+    CompletableFuture<ScriptedServer.Message> firstRequest = server.acceptAll();
+    awaitOnEventLoop(node, () -> node.pool().idle() == 1 || firstRequest.isDone());
+    assertFalse(firstRequest.isDone(), "it was sent although its client had disconnected");
+    writeIdempotentRequest(connect(node), "t-2");
+    assertEquals("t-2", firstRequest.get().requestId());
+  }
+
+  @Test
+  void requestIsNotRetriedIfClientDisconnectsBetweenAttempts() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
+    ScriptedServer server =
+        startServer(
+            request -> {
+              if (request.requestId().equals("t-1")) {
+                proceed.join();
+                request.connection().close();
+              } else {
+                request.respond(ScriptedServer.okResponse("", "x"));
+              }
+            });
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
+    writeIdempotentRequest(client, "t-1");
+    server.awaitRequest();
+    client.close();
+    awaitAllDisconnected(node);
+    proceed.complete(null);
+    awaitOnEventLoop(node, () -> node.pool().connections() == 0);
+    writeIdempotentRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
+  }
+
+  /** The close is behind the pipelined requests, so the node must read these to see it. */
+  @Test
+  void requestIsNotSentIfClientPipelinesAndDisconnectsDuringCounterCall() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
+    letCounterRespondAfter(proceed);
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(slowCounterConfig(server));
+    Socket client = connect(node);
+    writeRequest(client, "POST /api", countedRequestHeaders("t-1"), "book");
+    counter.awaitRequest();
+    for (int i = 0; i < 4; i++) {
+      writeRequest(client, "POST /api", countedRequestHeaders("a-" + i), "x".repeat(40_000));
+      if (i == 1) {
+        // The rest then comes with a further read.
+        awaitOnEventLoop(node, () -> node.held() > 80_000);
+      }
+    }
+    client.close();
+    awaitAllDisconnected(node);
+    proceed.complete(null);
+    writeKeyedRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
+  }
+
+  /** The codec may read further where the node has turned reading off. */
+  @Test
+  void pipelinedBytesAreBoundedHoweverLongARequestTakes() throws Exception {
+    ScriptedServer server = startServer(request -> {});
+    EdgeNode node = startNode(server);
+    Socket pipelining = connect(node);
+    writeKeyedRequest(pipelining, "t-1");
+    server.awaitRequest();
+    ScriptedServer.startThread(
+        () -> {
+          for (int i = 0; i < 400; i++) {
+            writeRequest(
+                pipelining,
+                "POST /api",
+                requestHeaders("a-" + i, "order", "20000"),
+                "x".repeat(64 * 1024));
+          }
+        });
+    awaitOnEventLoop(node, () -> node.unread() == 1);
+    for (int i = 0; i < 3_000; i++) {
+      long heldBytes = callOnEventLoop(node, node::held);
+      assertTrue(heldBytes < MAX_HELD_BYTES, "held bytes: " + heldBytes);
+    }
+  }
+
+  /** After a stall, the request and the close behind it are found by the same poll. */
+  @Test
+  void requestIsNotSentIfClientDisconnectsBeforeItIsRead() throws Exception {
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
+    while (node.connections() < 1) {
+      Thread.onSpinWait();
+    }
+    runOnEventLoop(
+        node,
+        () -> {
+          writeIdempotentRequest(client, "t-1");
+          client.close();
+        });
+    awaitAllDisconnected(node);
+    writeIdempotentRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
+  }
+
+  /** After a stall, a poll may find the end of the attempt ahead of the client's close. */
+  @Test
+  void requestIsNotRetriedIfClientDisconnectsDuringEventLoopStall() throws Exception {
+    CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
+    ScriptedServer server = startServerThatHoldsFirst(firstRequest);
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
+    writeIdempotentRequest(client, "t-1");
+    server.awaitRequest();
+    // This leaves an idle connection, on which a retry could be sent at once.
+    writeIdempotentRequest(connect(node), "t-0");
+    server.awaitRequest();
+    awaitOnEventLoop(node, () -> node.pool().idle() == 1);
+    node.loop().schedule(() -> {}, 30, TimeUnit.MILLISECONDS).get();
+    runOnEventLoop(
+        node,
+        () -> {
+          firstRequest.join().respond(NOT_EXECUTED_RESPONSE);
+          client.close();
+        });
+    awaitAllDisconnected(node);
+    writeIdempotentRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
+  }
+
+  /** Behind so many unread bytes the close is not seen: each pipelined request must be given up. */
+  @Test
+  void pipelinedRequestsAreNotSentIfClientDisconnectsUnseen() throws Exception {
+    CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
+    ScriptedServer server = startServerThatHoldsFirst(firstRequest);
+    EdgeNode node = startNode(server);
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    server.awaitRequest();
+    for (int i = 0; i < 10; i++) {
+      writeRequest(
+          client, "POST /api", requestHeaders("a-" + i, "order", "20000"), "x".repeat(60_000));
+    }
+    awaitOnEventLoop(node, () -> node.unread() == 1);
+    client.close();
+    runOnEventLoop(
+        node,
+        () -> {
+          Thread.sleep(150);
+          firstRequest.join().respond(ScriptedServer.okResponse("", "x"));
+        });
+    awaitAllDisconnected(node);
+    writeKeyedRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
+  }
+
+  /** The node cannot see whether this client is still connected, so it gives the request up. */
+  @Test
+  void requestBeforeMorePipelinedBytesThanAreReadIsGivenUp() throws Exception {
+    CompletableFuture<Void> proceed = new CompletableFuture<>();
+    letCounterRespondAfter(proceed);
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(slowCounterConfig(server));
+    Socket client = connect(node);
+    writeRequest(client, "POST /api", countedRequestHeaders("t-1"), "book");
+    counter.awaitRequest();
+    writeRequest(client, "POST /api", countedRequestHeaders("a-1"), "x".repeat(600_000));
+    awaitOnEventLoop(node, () -> node.unread() == 1);
+    runOnEventLoop(node, () -> Thread.sleep(250));
+    proceed.complete(null);
+    assertEquals("502", readStatus(client));
+    writeKeyedRequest(connect(node), "t-2");
+    assertEquals("t-2", server.awaitRequest().requestId());
+  }
+}
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -53,9 +53,10 @@
 
   private NodeConfig configWithCounter(ScriptedServer at) throws Exception {
     return NodeConfigReader.parse(
-        configJson()
-            .replace(counter.address(), at.address())
-            .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
+        withSetting(
+            configJson().replace(counter.address(), at.address()),
+            "count-wait-ns",
+            2_000_000_000L));
   }
 
   private void add(long counterKey, double amount) {
--- /dev/null
+++ b/src/test/java/merlinrouter/node/DeadlineRaceTest.java
@@ -0,0 +1,142 @@
+package merlinrouter.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.PrintStream;
+import java.net.Socket;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicLong;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** A request's deadline passes while it waits or while the event loop is stalled. */
+@Timeout(120)
+class DeadlineRaceTest extends EventLoopFixture {
+  private static final long STALL_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  /** A latency objective so short that a request with little time left is still forwarded. */
+  private String shortObjectiveConfig(ScriptedServer server) throws IOException {
+    return withSetting(
+        configJson(readyEndpointJson("s-0", server.address())), "aim-ns", 400_000_000L);
+  }
+
+  /** Otherwise the response would come when the client no longer waits for it. */
+  @Test
+  void deadlineOfPipelinedRequestCountsFromItsArrival() throws Exception {
+    CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
+    ScriptedServer server = startServerThatHoldsFirst(firstRequest);
+    EdgeNode node = startNode(shortObjectiveConfig(server));
+    Socket client = connect(node);
+    writeKeyedRequest(client, "t-1");
+    server.awaitRequest();
+    writeRequest(client, "POST /api", requestHeaders("t-2", "order", "400"), "book");
+    awaitOnEventLoop(node, () -> node.held() > 100);
+    runOnEventLoop(
+        node,
+        () -> {
+          Thread.sleep(450);
+          firstRequest.join().respond(ScriptedServer.okResponse("", "x"));
+        });
+    assertEquals("200", readStatus(client));
+    assertFalse(readStatus(client).equals("200"), "it was served after its deadline");
+    writeKeyedRequest(client, "t-3");
+    assertEquals("t-3", server.awaitRequest().requestId());
+  }
+
+  /** The request arrives during a stall of the event loop that outlasts its deadline. */
+  @Test
+  void deadlineOfUnreadRequestCountsFromItsArrival() throws Exception {
+    ScriptedServer server = startOkServer("x");
+    EdgeNode node = startNode(shortObjectiveConfig(server));
+    Socket client = connect(node);
+    assertEquals("200", requestStatus(client, "t-1"));
+    server.awaitRequest();
+    runOnEventLoop(
+        node,
+        () -> {
+          writeRequest(client, "POST /api", requestHeaders("t-2", "order", "400"), "book");
+          Thread.sleep(450);
+        });
+    assertFalse(readStatus(client).equals("200"), "it was served after its deadline");
+    writeKeyedRequest(client, "t-3");
+    assertEquals("t-3", server.awaitRequest().requestId());
+  }
+
+  /** A collection stalls the event loop for longer, the smaller the node's part of a core is. */
+  @Test
+  void finalResponseIsDueBeforeAGarbageCollectionCouldDelayIt() throws Exception {
+    EdgeNode onOneCore = startNode();
+    EdgeNode onQuarterCore =
+        startNode(configJson().replace("\"sockets\": 1024", "\"sockets\": 1024, \"cores\": 0.25"));
+    assertDeadlineMillis(976, onOneCore, 1_000);
+    assertDeadlineMillis(904, onQuarterCore, 1_000);
+    // The margin takes only a part of a short timeout, but at least the time for the response.
+    assertDeadlineMillis(150, onQuarterCore, 200);
+    assertDeadlineMillis(8, onQuarterCore, 20);
+    assertDeadlineMillis(1, onQuarterCore, 3);
+  }
+
+  private static void assertDeadlineMillis(long expected, EdgeNode node, long timeoutMillis) {
+    assertEquals(
+        expected * NANOS_PER_MILLI,
+        node.deadline(0, timeoutMillis * NANOS_PER_MILLI),
+        "with a timeout of " + timeoutMillis + " ms");
+  }
+
+  /** A log line that is written slowly stalls the event loop between two attempts. */
+  @Test
+  void forwardedTimeoutExcludesEventLoopStallBeforeTheAttempt() throws Exception {
+    AtomicBoolean failNext = new AtomicBoolean(true);
+    ScriptedServer.Script script =
+        request ->
+            request.respond(
+                failNext.getAndSet(false)
+                    ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+                    : ScriptedServer.okResponse("", "x"));
+    ScriptedServer[] servers = {startServer(script), startServer(script)};
+    Socket client = connect(startNode(servers));
+    PrintStream standardOutput = System.out;
+    AtomicLong sentAtNanos = new AtomicLong();
+    AtomicBoolean stalled = new AtomicBoolean();
+    System.setOut(
+        new PrintStream(standardOutput) {
+          @Override
+          public void println(String line) {
+            if (line.startsWith("endpoint is an outlier")) {
+              while (System.nanoTime() - sentAtNanos.get() < STALL_NANOS) {
+                Thread.onSpinWait();
+              }
+              stalled.set(true);
+            }
+            super.println(line);
+          }
+        });
+    try {
+      for (int i = 0; !stalled.get(); i++) {
+        failNext.set(true);
+        sentAtNanos.set(System.nanoTime());
+        writeIdempotentRequest(client, "t-" + i);
+        assertEquals("200", readStatus(client));
+      }
+    } finally {
+      System.setOut(standardOutput);
+    }
+    long maxMillis = 20_000 - TimeUnit.NANOSECONDS.toMillis(STALL_NANOS) + 150;
+    long minMillis = Long.MAX_VALUE;
+    for (ScriptedServer server : servers) {
+      for (ScriptedServer.Message attempt : server.received) {
+        long forwardedMillis = Long.parseLong(attempt.headers().get("x-expires-in-ms"));
+        minMillis = Math.min(minMillis, forwardedMillis);
+      }
+    }
+    assertTrue(
+        minMillis <= maxMillis,
+        "forwarded " + minMillis + " ms after the stall, at most " + maxMillis + " are left");
+  }
+}
--- a/src/test/java/merlinrouter/node/DeploymentTest.java
+++ b/src/test/java/merlinrouter/node/DeploymentTest.java
@@ -138,8 +138,7 @@
     discovery = startServer(request -> sendFleetAndRemovals(request, server));
     Files.writeString(
         file,
-        configJson(fleet(FLEET_ENDPOINTS, "Ready", server))
-            .replace("\"siblings\": 2", "\"siblings\": " + FLEET_NODES));
+        withSetting(configJson(fleet(FLEET_ENDPOINTS, "Ready", server)), "siblings", FLEET_NODES));
     NodeProcess process = startScript(runCommand(), file);
     Socket client = connect(process.awaitServing());
     resources.add(client);
@@ -172,8 +171,7 @@
                   watchResponse(fullListJson(6, readyEndpointJson("s-1", server.address()))));
             });
     Path file = folder.resolve("config.json");
-    Files.writeString(
-        file, configJson().replace("\"sockets\": 1024", "\"sockets\": " + MAX_DESCRIPTORS));
+    Files.writeString(file, withSetting(configJson(), "sockets", MAX_DESCRIPTORS));
     NodeProcess process = startScript("ulimit -n " + MAX_DESCRIPTORS + "; " + runCommand(), file);
     // A node that hangs is killed, so that the reads below fail instead of waiting.
     CompletableFuture.delayedExecutor(MAX_TEST_SECONDS, TimeUnit.SECONDS).execute(process::close);
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -176,7 +176,8 @@
   void idleConnectionsAreKeptUpToALimit() throws Exception {
     ScriptedServer server = startOkServer("done");
     EdgeNode node =
-        startNode(configJson(readyEndpointJson("s-0", server.address())).replace("1024", "96"));
+        startNode(
+            withSetting(configJson(readyEndpointJson("s-0", server.address())), "sockets", 96));
     Socket last = null;
     for (int i = 0; i < 30; i++) {
       last = connect(node);
@@ -265,8 +266,7 @@
     ScriptedServer server = startOkServer("x");
     EdgeNode node =
         startNode(
-            configJson(readyEndpointJson("s-0", server.address()))
-                .replace("\"sockets\": 1024", "\"sockets\": 16"));
+            withSetting(configJson(readyEndpointJson("s-0", server.address())), "sockets", 16));
     for (int i = 0; i < 30; i++) {
       connect(node);
     }
--- a/src/test/java/merlinrouter/node/NodeFixture.java
+++ b/src/test/java/merlinrouter/node/NodeFixture.java
@@ -1,5 +1,6 @@
 package merlinrouter.node;
 
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.io.IOException;
@@ -126,6 +127,13 @@
         .replace("MEMBERS", String.join(",", endpoints));
   }
 
+  /** Sets a number wherever the configuration has this key; fails if that changes nothing. */
+  static String withSetting(String configJson, String key, long value) {
+    String changed = configJson.replaceAll("\"" + key + "\": \\d+", "\"" + key + "\": " + value);
+    assertNotEquals(configJson, changed, key + " is missing or has this value");
+    return changed;
+  }
+
   /** Starts a node with these servers as its endpoints {@code s-0}, {@code s-1}, and so on. */
   EdgeNode startNode(ScriptedServer... servers) throws Exception {
     String[] endpoints = new String[servers.length];
--- a/src/test/java/merlinrouter/node/ScriptedServer.java
+++ b/src/test/java/merlinrouter/node/ScriptedServer.java
@@ -66,11 +66,13 @@
     void handle(Message request) throws IOException, InterruptedException;
   }
 
-  private interface Task {
+  /** What a thread of a server or client does until its connection ends. */
+  interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private static void startThread(Task task) {
+  /** Starts a daemon thread, which ends without a word when its connection does. */
+  static void startThread(Task task) {
     Thread thread =
         new Thread(
             () -> {
--- /dev/null
+++ b/src/test/java/merlinrouter/node/ShutdownRaceTest.java
@@ -0,0 +1,110 @@
+package merlinrouter.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import merlinrouter.node.config.NodeConfigReader;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** A node is drained or reloaded while it starts, or as its last clients connect. */
+@Timeout(120)
+class ShutdownRaceTest extends EventLoopFixture {
+  private static final long STALL_BEYOND_GRACE_MILLIS = 700;
+
+  private EdgeNode createNode(String configJson) throws Exception {
+    EdgeNode node = new EdgeNode(NodeConfigReader.parse(configJson));
+    resources.add(node);
+    return node;
+  }
+
+  /** A drain that comes before the listener is bound must end, and keep the node from serving. */
+  @Test
+  void nodeDrainedBeforeItsStartNeverServes() throws Exception {
+    EdgeNode node = createNode(configJson());
+    node.drain().get(20, TimeUnit.SECONDS);
+    Thread starting =
+        new Thread(
+            () -> {
+              try {
+                node.start();
+              } catch (Exception e) {
+                // The node has been closed.
+              }
+            });
+    starting.setDaemon(true);
+    starting.start();
+    discovery.awaitRequest();
+    assertFalse(callOnEventLoop(node, node::listens));
+  }
+
+  /** The new addresses come between the read of the configuration and the start. */
+  @Test
+  void reloadBeforeTheStartMovesTheFirstWatch() throws Exception {
+    ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
+    String config = configJson();
+    EdgeNode node = createNode(config);
+    node.reload(
+        NodeConfigReader.parse(config.replace(discovery.address(), newDiscovery.address())));
+    node.start();
+    assertTrue(newDiscovery.awaitRequest().startLine().contains("after=5"));
+    awaitOnEventLoop(node, () -> node.discovery().openWatches() == 1);
+  }
+
+  /** What a client does within the grace period counts, however late the event loop sees it. */
+  @Test
+  void requestsBeforeTheGracePeriodEndsAreServedDespiteEventLoopStall() throws Exception {
+    EdgeNode node = startNode(startOkServer("x"));
+    Socket connected = connect(node);
+    assertEquals("200", requestStatus(connected, "t-0"));
+    CompletableFuture<Void> drained = callOnEventLoop(node, node::drain);
+    InetSocketAddress address = (InetSocketAddress) node.address();
+    Socket connecting =
+        callOnEventLoop(
+            node,
+            () -> {
+              Socket client = connect(address);
+              writeKeyedRequest(client, "t-1");
+              writeKeyedRequest(connected, "t-2");
+              Thread.sleep(STALL_BEYOND_GRACE_MILLIS);
+              return client;
+            });
+    resources.add(connecting);
+    assertEquals("200", readStatus(connecting));
+    assertEquals("200", readStatus(connected));
+    drained.get(60, TimeUnit.SECONDS);
+  }
+
+  /** A poll accepts 16 connections; those behind them must not be closed unread. */
+  @Test
+  void allClientsConnectedBeforeTheGracePeriodEndsGetResponses() throws Exception {
+    EdgeNode node = startNode(startOkServer("x"));
+    CompletableFuture<Void> drained = callOnEventLoop(node, node::drain);
+    InetSocketAddress address = (InetSocketAddress) node.address();
+    List<Socket> clients =
+        callOnEventLoop(
+            node,
+            () -> {
+              List<Socket> connected = new ArrayList<>();
+              for (int i = 0; i < 60; i++) {
+                Socket client = connect(address);
+                writeKeyedRequest(client, "c-" + i);
+                connected.add(client);
+              }
+              Thread.sleep(STALL_BEYOND_GRACE_MILLIS);
+              return connected;
+            });
+    resources.addAll(clients);
+    for (Socket client : clients) {
+      readStatus(client);
+    }
+    drained.get(60, TimeUnit.SECONDS);
+  }
+}
