--- a/src/main/java/merlinrouter/Main.java
+++ b/src/main/java/merlinrouter/Main.java
@@ -62,9 +62,9 @@
       Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(serving.get()), "stop"));
       String folder = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
       long begun = System.nanoTime();
-      int rehearsed = WarmUp.hold(configuration.read(), REHEARSED, REHEARSAL_MS, Path.of(folder));
+      int rehearsed = WarmUp.run(configuration.read(), REHEARSED, REHEARSAL_MS, Path.of(folder));
       System.out.println(
-          "rehearsed with "
+          "warmed up with "
               + rehearsed
               + " requests in "
               + (System.nanoTime() - begun) / 1_000_000
--- a/src/main/java/merlinrouter/node/counter/CounterProtocol.java
+++ b/src/main/java/merlinrouter/node/counter/CounterProtocol.java
@@ -4,11 +4,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Names on the wire between the node and the counter. */
-final class CounterProtocol {
+public final class CounterProtocol {
   /** The host that calls are for. */
   static final String HOST = "counter";
 
-  private static final String COUNTER_PATH = "/tally/";
+  /** Start of the path of every call. */
+  public static final String COUNTER_PATH = "/tally/";
+
   private static final String AMOUNT_PARAMETER = "?n=";
   private static final String TIME_TO_LIVE_MILLIS_PARAMETER = "&keep_ms=";
   private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryProtocol.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryProtocol.java
@@ -1,11 +1,12 @@
 package merlinrouter.node.discovery;
 
 /** Names on the wire between the node and discovery. */
-final class DiscoveryProtocol {
+public final class DiscoveryProtocol {
   /** The host that requests are for. */
   static final String HOST = "discovery";
 
-  private static final String WATCH_URI = "/catalog/members?watch=1&after=";
+  /** Start of the URI of every watch; the revision follows. */
+  public static final String WATCH_URI = "/catalog/members?watch=1&after=";
 
   private DiscoveryProtocol() {}
 
--- a/src/main/java/merlinrouter/node/downstream/ClientProtocol.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientProtocol.java
@@ -1,53 +1,63 @@
 package merlinrouter.node.downstream;
 
 /** The names of the HTTP interface that clients use, and its limits. */
-final class ClientProtocol {
-  static final String API_PATH = "/api";
-  static final String HEALTH_PATH = "/_health";
+public final class ClientProtocol {
+  /** Path of requests. */
+  public static final String API_PATH = "/api";
+
+  /** Path of the node's own health check. */
+  public static final String HEALTH_PATH = "/_health";
 
   /** Identifies the request. */
-  static final String REQUEST_ID = "X-Trace-Id";
+  public static final String REQUEST_ID = "X-Trace-Id";
 
   /** Name of the request class. */
-  static final String REQUEST_CLASS = "X-Qos";
+  public static final String REQUEST_CLASS = "X-Qos";
 
   /** Name of the customer's quota plan. */
-  static final String QUOTA_PLAN = "X-Plan";
+  public static final String QUOTA_PLAN = "X-Plan";
 
   /** What the request takes from its customer's quota: {@code units=1,spread=1,first=0}. */
-  static final String QUOTA = "X-Quota";
+  public static final String QUOTA = "X-Quota";
 
   /** Units that the request takes. */
-  static final String QUOTA_UNITS = "units";
+  public static final String QUOTA_UNITS = "units";
 
   /** How many gateways the customer's requests come through. */
-  static final String QUOTA_GATEWAY_SPREAD = "spread";
+  public static final String QUOTA_GATEWAY_SPREAD = "spread";
 
   /** Number of the first of these gateways. */
-  static final String QUOTA_FIRST_GATEWAY = "first";
+  public static final String QUOTA_FIRST_GATEWAY = "first";
 
   /** How long the client waits for the response, in milliseconds. */
-  static final String TIMEOUT_MS = "X-Expires-In-Ms";
+  public static final String TIMEOUT_MS = "X-Expires-In-Ms";
 
-  static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+  /** Key by which endpoints drop duplicates of a request. */
+  public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
   /** {@link #RETRY_TRUE} if the client marks the request as a retry of an earlier one. */
-  static final String RETRY = "X-Second-Try";
+  public static final String RETRY = "X-Second-Try";
 
-  static final String RETRY_TRUE = "1";
+  /** Value of {@link #RETRY} on a retry. */
+  public static final String RETRY_TRUE = "1";
 
-  static final String COOKIE = "Cookie";
+  /** Header that holds the cookies. */
+  public static final String COOKIE = "Cookie";
 
   /** Cookie with the customer's number, in {@link #CUSTOMER_HEX_DIGITS} hexadecimal digits. */
-  static final String CUSTOMER_COOKIE = "customer";
+  public static final String CUSTOMER_COOKIE = "customer";
 
-  static final int CUSTOMER_HEX_DIGITS = 16;
+  /** Length of a customer's number in its cookie. */
+  public static final int CUSTOMER_HEX_DIGITS = 16;
 
   /** Customers' numbers are below this. */
-  static final long CUSTOMER_LIMIT = 1L << 33;
+  public static final long CUSTOMER_LIMIT = 1L << 33;
+
+  /** Maximum length of a request id, a key or a name. */
+  public static final int MAX_TOKEN_LENGTH = 128;
 
-  static final int MAX_TOKEN_LENGTH = 128;
-  static final int MAX_BODY_BYTES = 64 * 1024;
+  /** Maximum size of a request body in bytes. */
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private ClientProtocol() {}
 }
--- a/src/test/java/merlinrouter/node/DeploymentTest.java
+++ b/src/test/java/merlinrouter/node/DeploymentTest.java
@@ -91,7 +91,7 @@
     BufferedReader said =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     Files.writeString(file, config);
-    ReloadTest.await(said, "rehearsed with");
+    ReloadTest.await(said, "warmed up with");
     // Opening a pipe to write waits for its reader, so the node is in its second reading now.
     try (var writing = Files.newOutputStream(file)) {
       ReloadTest.hangUp(process);
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -18,42 +18,39 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node does before it serves, and that nobody but itself hears of it. */
+/** JVM warm-up before a node serves, which no peer notices. */
 class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
-  private long left() throws Exception {
+  private long fileCount() throws Exception {
     try (Stream<Path> files = Files.list(folder)) {
       return files.count();
     }
   }
 
   @Test
-  void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
+  void requestsPassTheWholeNodeAndReachNoPeer() throws Exception {
     ScriptedServer server = startOkServer("real");
     NodeConfig config =
         NodeConfigReader.parse(configJson(readyEndpointJson("s-0", server.address())));
-    assertTrue(WarmUp.hold(config, 200, 60_000, folder) > 100);
+    assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
     assertNull(server.received.poll());
     assertNull(counter.received.poll());
     assertNull(discovery.received.poll());
-    assertEquals(0, left(), "it must leave no file");
+    assertEquals(0, fileCount(), "it must leave no file");
   }
 
   @Test
-  void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
+  void itEndsWhenItsTimeIsUpAndIsSkippedWithoutAFolder() throws Exception {
     NodeConfig config = NodeConfigReader.parse(configJson());
-    WarmUp.hold(config, Integer.MAX_VALUE, 1, folder);
-    assertEquals(0, left());
-    assertEquals(0, WarmUp.hold(config, 1, 60_000, folder.resolve("none")));
+    WarmUp.run(config, Integer.MAX_VALUE, 1, folder);
+    assertEquals(0, fileCount());
+    assertEquals(0, WarmUp.run(config, 1, 60_000, folder.resolve("none")));
   }
 
-  /**
-   * A node that serves unrehearsed turned most of its first clients away: the first answer comes
-   * after it.
-   */
+  /** A node that serves without a warm-up rejects most of its first requests. */
   @Test
-  void theProgramRehearsesBeforeItServes() throws Exception {
+  void theProgramWarmsUpBeforeItServes() throws Exception {
     ScriptedServer server = startOkServer("real");
     Path file = folder.resolve("config.json");
     Files.writeString(file, configJson(readyEndpointJson("s-0", server.address())));
@@ -69,15 +66,15 @@
     builder.environment().put("TMPDIR", folder.toString());
     Process process = builder.start();
     resources.add(process::destroyForcibly);
-    BufferedReader said =
+    BufferedReader output =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String line = said.readLine();
-    while (line != null && !line.startsWith("rehearsed with")) {
-      assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
-      line = said.readLine();
+    String line = output.readLine();
+    while (line != null && !line.startsWith("warmed up with")) {
+      assertTrue(!line.startsWith("serving on"), "it serves without a warm-up");
+      line = output.readLine();
     }
-    assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
-    line = said.readLine();
+    assertTrue(Integer.parseInt(line.split(" ")[3]) > 0, line);
+    line = output.readLine();
     assertTrue(line.startsWith("serving on"), line);
     try (Socket client =
         new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
@@ -87,6 +84,6 @@
     process.destroy();
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
-    assertEquals(1, left(), "only the configuration is left");
+    assertEquals(1, fileCount(), "only the configuration is left");
   }
 }
