--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -257,7 +257,7 @@
 
   @Override
   public long previousPollNanos() {
-    return looks.before();
+    return looks.previousPollNanos();
   }
 
   /**
--- a/src/main/java/merlinrouter/node/transport/PollTimestamps.java
+++ b/src/main/java/merlinrouter/node/transport/PollTimestamps.java
@@ -4,21 +4,25 @@
 import io.netty.util.IntSupplier;
 
 /**
- * When the loop last looked at its sockets: the codec's strategy of looking, which also takes the
- * time.
+ * Netty's default select strategy, which also records when the event loop polls its sockets. Used
+ * on the event loop only.
  */
 public final class PollTimestamps implements SelectStrategy {
-  private long before = System.nanoTime(), last = before;
+  private long previousPollNanos = System.nanoTime();
+  private long lastPollNanos = previousPollNanos;
 
   @Override
-  public int calculateStrategy(IntSupplier lookNow, boolean hasTasks) throws Exception {
-    before = last;
-    last = System.nanoTime();
-    return hasTasks ? lookNow.get() : SelectStrategy.SELECT;
+  public int calculateStrategy(IntSupplier pollWithoutBlocking, boolean hasTasks) throws Exception {
+    previousPollNanos = lastPollNanos;
+    lastPollNanos = System.nanoTime();
+    return hasTasks ? pollWithoutBlocking.get() : SelectStrategy.SELECT;
   }
 
-  /** What the present look brought was not there yet when the one before it began. */
-  public long before() {
-    return before;
+  /**
+   * Returns the {@link System#nanoTime} at which the poll before the latest one began: events that
+   * the latest poll returned occurred after it.
+   */
+  public long previousPollNanos() {
+    return previousPollNanos;
   }
 }
--- a/src/main/java/merlinrouter/node/transport/TcpChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpChannel.java
@@ -6,42 +6,43 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection that tells an orderly end from all else that a read may return. The platform
- * returns a number below that of an end for a read that a signal interrupted, and the library takes
- * every such number for an end.
+ * A TCP connection that tells an orderly end of input from everything else that a read may return.
+ * The JDK returns a number below {@code -1} for a read that a signal interrupted, and Netty takes
+ * every negative number for the end.
  */
 public final class TcpChannel extends NioSocketChannel {
   private static final int END_OF_STREAM = -1;
 
-  /** So many interrupts in a row leave the read to the loop's next turn. */
-  private static final int MOST_INTERRUPTS = 16;
+  /** After so many interrupts in a row the read is left to the event loop's next poll. */
+  private static final int MAX_INTERRUPTED_READS = 16;
 
   private boolean inputEnded;
 
-  /** A channel that is still to be connected. */
+  /** Creates a channel that is not connected yet. */
   public TcpChannel() {}
 
-  /** An accepted connection. */
-  TcpChannel(Channel parent, SocketChannel accepted) {
-    super(parent, accepted);
+  /** Creates the channel of a connection that {@code listeningChannel} accepted. */
+  TcpChannel(Channel listeningChannel, SocketChannel accepted) {
+    super(listeningChannel, accepted);
   }
 
   /**
-   * Whether the peer ended its side in order; false behind a reset, an error or a close of ours.
+   * Whether the peer ended its side of the connection in order; false after a reset, an error or a
+   * close by this node.
    */
   public boolean isInputEnded() {
     return inputEnded;
   }
 
   @Override
-  protected int doReadBytes(ByteBuf into) throws Exception {
-    int read = super.doReadBytes(into);
-    for (int i = 0; read < END_OF_STREAM && i < MOST_INTERRUPTS; i++) {
-      read = super.doReadBytes(into);
+  protected int doReadBytes(ByteBuf target) throws Exception {
+    int bytesRead = super.doReadBytes(target);
+    for (int i = 0; bytesRead < END_OF_STREAM && i < MAX_INTERRUPTED_READS; i++) {
+      bytesRead = super.doReadBytes(target);
     }
-    if (read == END_OF_STREAM) {
+    if (bytesRead == END_OF_STREAM) {
       inputEnded = true;
     }
-    return read < END_OF_STREAM ? 0 : read;
+    return bytesRead < END_OF_STREAM ? 0 : bytesRead;
   }
 }
--- a/src/main/java/merlinrouter/node/transport/Transport.java
+++ b/src/main/java/merlinrouter/node/transport/Transport.java
@@ -16,24 +16,24 @@
 import java.net.UnixDomainSocketAddress;
 
 /**
- * The kind of socket that goes with an address: TCP, or a file's for a rehearsal that nobody else
- * can reach.
+ * Chooses the kind of socket that goes with an address: TCP, or a Unix domain socket for the JVM
+ * warm-up, which no other process can reach.
  */
 public final class Transport {
   private Transport() {}
 
-  /** For connections to addresses of the kind of {@code like}. */
-  public static Bootstrap connecting(EventLoop loop, SocketAddress like) {
+  /** Returns a bootstrap for connections to addresses of the kind of {@code address}. */
+  public static Bootstrap connecting(EventLoop loop, SocketAddress address) {
     Bootstrap bootstrap = new Bootstrap().group(loop);
-    return like instanceof UnixDomainSocketAddress
+    return address instanceof UnixDomainSocketAddress
         ? bootstrap.channel(NioDomainSocketChannel.class)
         : bootstrap.channelFactory(TcpChannel::new).option(ChannelOption.TCP_NODELAY, true);
   }
 
-  /** For listening at an address of the kind of {@code like}. */
-  public static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
+  /** Returns a bootstrap for listening at an address of the kind of {@code address}. */
+  public static ServerBootstrap listening(EventLoop loop, SocketAddress address) {
     ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
-    return like instanceof UnixDomainSocketAddress
+    return address instanceof UnixDomainSocketAddress
         ? bootstrap.channel(NioServerDomainSocketChannel.class)
         : bootstrap
             .channelFactory(TcpServerChannel::new)
@@ -42,15 +42,15 @@
   }
 
   /**
-   * Whether a connect has a channel at all. Where the process could make no socket the library
-   * hands out a stand-in that cannot even be closed, and tells its listeners on a thread of its
-   * own.
+   * Whether a connection attempt has a channel at all. Where the process could create no socket,
+   * Netty returns a placeholder that cannot be closed, and calls its listeners on another thread
+   * than the event loop's.
    */
   public static boolean hasChannel(ChannelFuture connecting) {
     return connecting.channel() instanceof AbstractNioChannel;
   }
 
-  /** Whether a connect failed in this process, before anything went to the peer. */
+  /** Whether a connection attempt failed in this process, before anything was sent to the peer. */
   public static boolean isLocalFailure(Throwable cause) {
     return cause instanceof ChannelException
         || cause instanceof SocketException
