--- a/src/main/java/merlinrouter/node/config/EndpointEntry.java
+++ b/src/main/java/merlinrouter/node/config/EndpointEntry.java
@@ -6,7 +6,7 @@
 /**
  * An endpoint and where this node reaches it.
  *
- * @param endpoint what discovery says of it
+ * @param endpoint its description by discovery
  * @param address where it listens
  */
 public record EndpointEntry(Endpoint endpoint, SocketAddress address) {}
--- a/src/main/java/merlinrouter/node/config/EndpointListReader.java
+++ b/src/main/java/merlinrouter/node/config/EndpointListReader.java
@@ -15,17 +15,17 @@
    * Reads one message of discovery.
    *
    * @param text the message, in JSON
-   * @param names the names that the settings give indices to
+   * @param names names in the settings, which the list refers to
    * @throws InvalidConfigException if the message is no endpoint list
    */
   public static EndpointList parse(String text, SettingNames names) throws InvalidConfigException {
-    return read(JsonFields.parse(text, "discovery's message"), names);
+    return read(JsonFields.parse(text, "the endpoint list"), names);
   }
 
   static EndpointList read(JsonNode node, SettingNames names) throws InvalidConfigException {
     if (!JsonFields.required(node, EndpointListKeys.ENTRIES).isArray()
         || !JsonFields.required(node, EndpointListKeys.REVISION).isIntegralNumber()) {
-      throw new InvalidConfigException("a list of app servers without revision or members");
+      throw new InvalidConfigException("an endpoint list without revision or members");
     }
     List<EndpointEntry> entries = new ArrayList<>();
     for (JsonNode entry : node.get(EndpointListKeys.ENTRIES)) {
--- a/src/main/java/merlinrouter/node/config/NodeConfigReader.java
+++ b/src/main/java/merlinrouter/node/config/NodeConfigReader.java
@@ -18,10 +18,12 @@
   private static final int DEFAULT_MAX_SOCKETS = 256;
   private static final long DEFAULT_MEMORY_MEBIBYTES = 64;
   private static final int MEBIBYTE_SHIFT = 20;
+  private static final int HEXADECIMAL = 16;
 
-  /** One event loop uses one core at most; a JVM cannot serve with less than this. */
+  /** A JVM cannot serve with less. */
   private static final double MIN_CORES = 0.05;
 
+  /** The only event loop cannot use more. */
   private static final double MAX_CORES = 1;
 
   private static final List<String> REQUIRED_NUMBERS =
@@ -156,7 +158,8 @@
 
   private void checkIdempotency(String key) throws InvalidConfigException {
     if (!IDEMPOTENCY_VALUES.contains(settings.getOrDefault(key, ""))) {
-      throw new InvalidConfigException("settings." + key + " is not retryable, dedup or fragile");
+      throw new InvalidConfigException(
+          "settings." + key + " is none of " + String.join(", ", IDEMPOTENCY_VALUES));
     }
   }
 
@@ -170,7 +173,7 @@
       // Reported below, as for a number out of range.
     }
     throw new InvalidConfigException(
-        "settings." + key + " is not a number from 0: " + settings.get(key));
+        "settings." + key + " is not a number of at least 0: " + settings.get(key));
   }
 
   private EndpointList knownEndpoints(SettingNames names) throws InvalidConfigException {
@@ -185,9 +188,10 @@
 
   private static long seed(JsonNode node) throws InvalidConfigException {
     try {
-      return node.isTextual() ? Long.parseUnsignedLong(node.asText(), 16) : node.asLong();
+      return node.isTextual() ? Long.parseUnsignedLong(node.asText(), HEXADECIMAL) : node.asLong();
     } catch (NumberFormatException e) {
-      throw new InvalidConfigException("seed is not a hexadecimal number of 64 bits");
+      throw new InvalidConfigException(
+          NodeConfigKeys.SEED + " is not a hexadecimal number of 64 bits");
     }
   }
 
--- a/src/main/java/merlinrouter/node/config/SettingNames.java
+++ b/src/main/java/merlinrouter/node/config/SettingNames.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The names that stand for the indices in the settings, each at its index.
+ * Names in the configuration; the settings refer to each by its index in these lists.
  *
  * @param classes names of the request classes
  * @param plans names of the quota plans
--- a/src/main/java/merlinrouter/node/counter/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -36,7 +36,7 @@
     this.loop = loop;
     address = config.counter();
     callTimeoutNanos = Math.max(MIN_CALL_TIMEOUT_NANOS, config.settings().counter().timeoutNanos());
-    long connectTimeoutMillis = TimeUnit.NANOSECONDS.toMillis(config.connectTimeout());
+    long connectTimeoutMillis = TimeUnit.NANOSECONDS.toMillis(config.connectTimeoutNanos());
     bootstrap =
         Transport.connecting(loop, config.discovery())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMillis));
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -58,7 +58,7 @@
     parser =
         new RequestParser(
             config.names().classes(), config.names().plans(), config.settings(), handler::deadline);
-    registry = new ConnectionRegistry(config.sockets());
+    registry = new ConnectionRegistry(config.maxSockets());
     loop.scheduleAtFixedRate(
         registry::enforceTimeouts,
         TIMEOUT_CHECK_INTERVAL_NANOS,
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -37,7 +37,7 @@
   Connector(EventLoop loop, NodeConfig config, NodeLog log) {
     this.loop = loop;
     this.log = log;
-    connectTimeoutNanos = Math.max(MIN_CONNECT_TIMEOUT_NANOS, config.connectTimeout());
+    connectTimeoutNanos = Math.max(MIN_CONNECT_TIMEOUT_NANOS, config.connectTimeoutNanos());
     double maxChargedUnits = config.settings().counter().maxRequestUnits();
     bootstrap =
         Transport.connecting(loop, config.discovery())
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -44,11 +44,11 @@
     connector = new Connector(loop, config, log);
     // Well before the endpoint closes the connection: a request that is written to a connection
     // that its peer closes ends as a reset.
-    idleTimeoutNanos = config.keepAlive() / 2;
+    idleTimeoutNanos = config.keepAliveNanos() / 2;
     maxConnections =
         Math.max(
             MIN_MAX_CONNECTIONS,
-            config.sockets() * SOCKET_SHARE_NUMERATOR / SOCKET_SHARE_DENOMINATOR);
+            config.maxSockets() * SOCKET_SHARE_NUMERATOR / SOCKET_SHARE_DENOMINATOR);
     loop.scheduleAtFixedRate(
         this::closeIdle, SWEEP_INTERVAL_NANOS, SWEEP_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
   }
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -140,12 +140,12 @@
             config.counter() == null ? null : peer,
             config.seed(),
             // Both ends of each connection are this process's.
-            config.sockets() / 2,
+            config.maxSockets() / 2,
             config.memoryLimitBytes(),
             config.cores(),
             new EndpointList(1, true, members),
-            config.connectTimeout(),
-            config.keepAlive(),
+            config.connectTimeoutNanos(),
+            config.keepAliveNanos(),
             config.names(),
             unceiled(config.settings()));
     try (EdgeNode node = new EdgeNode(mine, NodeLog.silent())) {
