--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -157,7 +157,7 @@
 
   @Override
   public long previousPollNanos() {
-    return pollTimestamps.before();
+    return pollTimestamps.previousPollNanos();
   }
 
   @Override
--- a/src/main/java/merlinrouter/node/warmup/WarmUpConfig.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUpConfig.java
@@ -31,12 +31,12 @@
         config.counter() == null ? null : stubServer,
         config.seed(),
         // Both ends of each connection are in this process.
-        config.sockets() / 2,
+        config.maxSockets() / 2,
         config.memoryLimitBytes(),
         config.cores(),
         new EndpointList(1, true, entries(config, endpoints)),
-        config.connectTimeout(),
-        config.keepAlive(),
+        config.connectTimeoutNanos(),
+        config.keepAliveNanos(),
         config.names(),
         withoutHardLimits(config.settings()));
   }
