--- a/src/test/java/merlinrouter/node/NodeProcess.java
+++ b/src/test/java/merlinrouter/node/NodeProcess.java
@@ -20,7 +20,7 @@
   /** Starts of the lines that the program writes. */
   static final String SERVING = "serving on ";
 
-  static final String WARMED_UP = "rehearsed with ";
+  static final String WARMED_UP = "warmed up with ";
   static final String RELOAD_POSTPONED = "the configuration will be read again";
   static final String RELOAD_FAILED = "the configuration stays as it was";
 
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -15,42 +15,39 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node does before it serves, and that nobody but itself hears of it. */
+/** JVM warm-up before a node serves, which no peer notices. */
 class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
-  private long left() throws Exception {
+  private long fileCount() throws Exception {
     try (Stream<Path> files = Files.list(folder)) {
       return files.count();
     }
   }
 
   @Test
-  void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
+  void requestsPassTheWholeNodeAndReachNoPeer() throws Exception {
     ScriptedServer server = startOkServer("real");
     NodeConfig config =
         NodeConfigReader.parse(configJson(readyEndpointJson("s-0", server.address())));
-    assertTrue(WarmUp.hold(config, 200, 60_000, folder) > 100);
+    assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
     assertNull(server.received.poll());
     assertNull(counter.received.poll());
     assertNull(discovery.received.poll());
-    assertEquals(0, left(), "it must leave no file");
+    assertEquals(0, fileCount(), "it must leave no file");
   }
 
   @Test
-  void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
+  void itEndsWhenItsTimeIsUpAndIsSkippedWithoutAFolder() throws Exception {
     NodeConfig config = NodeConfigReader.parse(configJson());
-    WarmUp.hold(config, Integer.MAX_VALUE, 1, folder);
-    assertEquals(0, left());
-    assertEquals(0, WarmUp.hold(config, 1, 60_000, folder.resolve("none")));
+    WarmUp.run(config, Integer.MAX_VALUE, 1, folder);
+    assertEquals(0, fileCount());
+    assertEquals(0, WarmUp.run(config, 1, 60_000, folder.resolve("none")));
   }
 
-  /**
-   * A node that serves unrehearsed turned most of its first clients away: the first answer comes
-   * after it.
-   */
+  /** A node that serves without a warm-up rejects most of its first requests. */
   @Test
-  void theProgramRehearsesBeforeItServes() throws Exception {
+  void theProgramWarmsUpBeforeItServes() throws Exception {
     ScriptedServer server = startOkServer("real");
     Path file = folder.resolve("config.json");
     Files.writeString(file, configJson(readyEndpointJson("s-0", server.address())));
@@ -61,13 +58,13 @@
       assertTrue(!line.startsWith(NodeProcess.SERVING), "it serves without a warm-up");
       line = process.readLine();
     }
-    assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
+    assertTrue(Integer.parseInt(line.split(" ")[3]) > 0, line);
     line = process.readLine();
     assertTrue(line.startsWith(NodeProcess.SERVING), line);
     try (Socket client = connect(NodeProcess.addressOf(line))) {
       assertEquals("200", requestStatus(client, "t-1"));
     }
     assertEquals(0, process.terminate());
-    assertEquals(1, left(), "only the configuration is left");
+    assertEquals(1, fileCount(), "only the configuration is left");
   }
 }
