--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node does before it serves, and that nobody but itself hears of it. */
+/** The JVM warm-up before a node serves, which no other process notices. */
 class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
