--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** JVM warm-up before a node serves, which no peer notices. */
+/** The JVM warm-up before a node serves, which no other process notices. */
 class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
