--- a/src/main/java/merlinrouter/gateway/GatewayActions.java
+++ b/src/main/java/merlinrouter/gateway/GatewayActions.java
@@ -1,8 +1,8 @@
 package merlinrouter.gateway;
 
 /**
- * What a gateway asks of its host. Each action takes effect at once and is called on the thread of
- * the event that caused it.
+ * What a gateway asks of its host, on the thread of the event that caused it and from within that
+ * event. An action must not deliver an event before it returns.
  */
 public interface GatewayActions {
   /**
--- a/src/main/java/merlinrouter/gateway/GatewayEvents.java
+++ b/src/main/java/merlinrouter/gateway/GatewayEvents.java
@@ -25,7 +25,7 @@
   /** An attempt is over; each attempt ends exactly once. */
   void attemptEnded(long nowNanos, AttemptResult result);
 
-  /** The response of a request began to stream. Only the simulator tells it; nothing follows. */
+  /** The response of a request began to stream. Reported by the simulator; causes no action. */
   void responseStarted(long nowNanos, String requestId);
 
   /** The client disconnected; nothing is owed any more. */
@@ -34,7 +34,7 @@
   /** A call to the counter ended; calls with one key end in their order. */
   void counterCallEnded(long nowNanos, long counterKey, Outcome outcome, double total);
 
-  /** A health check ended, however it did; the load report is empty if there is none. */
+  /** A health check ended; only the load report is used, which is empty if there is none. */
   void healthCheckEnded(
       long nowNanos,
       String endpointId,
@@ -42,6 +42,6 @@
       long durationNanos,
       List<Double> loadReport);
 
-  /** A timer fired. */
+  /** The timer fired; a gateway has one, so that the token is not used. */
   void timerFired(long nowNanos, long token);
 }
--- a/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
@@ -29,13 +29,13 @@
 
   /** Applies an update of the endpoint list. */
   void update(EndpointUpdateType type, List<Endpoint> entries) {
-    if (type == EndpointUpdateType.FULL || type == EndpointUpdateType.CACHED) {
+    if (type.isWholeList()) {
       removeUnnamed(entries);
     }
     for (Endpoint entry : entries) {
       apply(entry);
     }
-    // Ids are not reused, so removed endpoints are dropped once their last attempt has ended.
+    // Removed endpoints are kept for a while, and until their last attempt has ended.
     trackersById.values().removeIf(EndpointTracker::isDisposable);
     List<EndpointTracker> nowReady = new ArrayList<>();
     for (EndpointTracker tracker : trackersById.values()) {
--- a/src/main/java/merlinrouter/model/ClientRequest.java
+++ b/src/main/java/merlinrouter/model/ClientRequest.java
@@ -7,7 +7,8 @@
  * @param classIndex index of its request class in the settings
  * @param planIndex index of its customer's quota plan in the settings
  * @param customer number of its customer
- * @param deadlineNanos the moment at which the client stops waiting
+ * @param deadlineNanos the moment by which the final response is due, by the gateway's clock; a
+ *     node sets it earlier than the client's own deadline
  * @param units what it takes from the quota; may be an estimate
  * @param gatewaySpread how many gateways this customer's requests come through
  * @param firstGateway number of the first of these gateways; not used
--- a/src/main/java/merlinrouter/model/EndpointUpdateType.java
+++ b/src/main/java/merlinrouter/model/EndpointUpdateType.java
@@ -9,5 +9,10 @@
   /** Changed entries only. */
   DELTA,
   /** Nothing: a subscription to the list failed, and the known list stands. */
-  FAILED
+  FAILED;
+
+  /** Whether endpoints that the update does not name are removed. */
+  public boolean isWholeList() {
+    return this == FULL || this == CACHED;
+  }
 }
--- a/src/main/java/merlinrouter/node/DeadlineMargin.java
+++ b/src/main/java/merlinrouter/node/DeadlineMargin.java
@@ -4,25 +4,25 @@
 
 /**
  * The margin by which a gateway's deadlines are earlier than the clients', so that the final
- * response is written before the client gives up.
+ * response is written before the client stops waiting.
  */
 final class DeadlineMargin {
   /** Time to write a response. */
   private static final long RESPONSE_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
 
-  /** Work of the processor that may come first: a collection of the young generation. */
-  private static final long STALL_WORK_NANOS = TimeUnit.MILLISECONDS.toNanos(24);
+  /** CPU time of one collection of the young generation, which may delay the response. */
+  private static final long STALL_CPU_NANOS = TimeUnit.MILLISECONDS.toNanos(24);
 
-  /** The stall takes at most one in so many parts of a client's time, or little would be left. */
-  private static final int TIMEOUT_PER_STALL = 4;
+  /** The allowance for a stall is at most a quarter of the client's timeout. */
+  private static final int MAX_STALL_DIVISOR = 4;
 
   private static final long MIN_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
   private final long stallNanos;
 
-  /** Creates the margin of a process with a part of a core, from above 0 to 1. */
+  /** Creates the margin of a process that may use some CPU cores, from above 0 to 1. */
   DeadlineMargin(double cores) {
-    stallNanos = (long) (STALL_WORK_NANOS / cores);
+    stallNanos = (long) (STALL_CPU_NANOS / cores);
   }
 
   /**
@@ -33,7 +33,7 @@
    */
   long deadlineNanos(long arrivedAtNanos, long timeoutNanos) {
     long marginNanos =
-        Math.max(RESPONSE_NANOS, Math.min(stallNanos, timeoutNanos / TIMEOUT_PER_STALL));
+        Math.max(RESPONSE_NANOS, Math.min(stallNanos, timeoutNanos / MAX_STALL_DIVISOR));
     return arrivedAtNanos + Math.max(MIN_TIMEOUT_NANOS, timeoutNanos - marginNanos);
   }
 }
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -20,6 +20,7 @@
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.InvariantGuard;
 import merlinrouter.node.request.OpenRequest;
+import merlinrouter.node.transport.EventLoops;
 import merlinrouter.node.transport.PollTimestamps;
 import merlinrouter.node.upstream.UpstreamPool;
 
@@ -125,11 +126,7 @@
     loop.execute(
         () -> {
           long graceNanos = clients.startDraining() ? ACCEPT_GRACE_NANOS : 0;
-          // The second task runs after one more poll: connections made before the first count.
-          loop.schedule(
-              () -> loop.schedule(() -> clients.stopAccepting(done), 0, TimeUnit.NANOSECONDS),
-              graceNanos,
-              TimeUnit.NANOSECONDS);
+          EventLoops.runAfterNextPoll(loop, graceNanos, () -> clients.stopAccepting(done));
         });
     return done;
   }
@@ -149,7 +146,10 @@
     host.clientDisconnected(request);
   }
 
-  /** Whether discovery was heard, or was silent for so long that the known list has to do. */
+  /**
+   * Whether a list was received, or discovery has had time enough to send one; without one the node
+   * serves with the list of its configuration.
+   */
   @Override
   public boolean isReady() {
     return discovery.isReady();
--- a/src/main/java/merlinrouter/node/EndpointListUpdater.java
+++ b/src/main/java/merlinrouter/node/EndpointListUpdater.java
@@ -30,8 +30,8 @@
 
   @Override
   public void endpointsUpdated(EndpointList list, EndpointUpdateType type) {
-    boolean whole = type != EndpointUpdateType.DELTA;
-    List<Endpoint> endpoints = host.upstreamPool().update(withMonotonicStartTimes(list), whole);
+    List<Endpoint> endpoints =
+        host.upstreamPool().update(withMonotonicStartTimes(list), type.isWholeList());
     host.endpointsUpdated(type, endpoints);
   }
 
--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -31,8 +31,9 @@
  */
 final class GatewayHost implements GatewayActions, AttemptListener {
   /**
-   * How long after its deadline a request that the gateway has not ended is failed; before the
-   * client gives up, whose deadline is later by {@link DeadlineMargin}.
+   * How long after the gateway's deadline a request without a response is failed: less than the
+   * {@link DeadlineMargin}, so that the response precedes the client's own deadline unless the
+   * client waits for a few milliseconds only.
    */
   private static final long OVERDUE_NANOS = TimeUnit.MILLISECONDS.toNanos(6);
 
@@ -112,7 +113,7 @@
       log.request(
           NodeLog.Event.OVERDUE, request.id(), request.attempts() + " attempts, " + attempt);
       fail(request);
-      events.deliver(now -> gateway.clientDisconnected(now, request.id()));
+      events.deliver(now -> stopTracking(request, now));
     }
   }
 
@@ -166,11 +167,18 @@
         event,
         () -> {
           fail(request);
-          // The gateway must not go on counting it; an attempt in flight still ends.
-          loop.execute(() -> events.deliver(now -> gateway.clientDisconnected(now, request.id())));
+          loop.execute(() -> events.deliver(now -> stopTracking(request, now)));
         });
   }
 
+  /**
+   * Makes the gateway stop tracking a request that the host has ended itself; an attempt in flight
+   * still ends. For the gateway this is as if the client had disconnected.
+   */
+  private void stopTracking(OpenRequest request, long nowNanos) {
+    gateway.clientDisconnected(nowNanos, request.id());
+  }
+
   /** Forgets a request that is owed no response and has no attempt in flight. */
   private void forgetIfEnded(OpenRequest request) {
     if (request.isResponded()
@@ -184,14 +192,21 @@
   @Override
   public void startAttempt(String requestId, String endpointId, long timeoutNanos) {
     OpenRequest request = openRequests.get(requestId);
-    if (request != null && !request.isAttemptInFlight() && !request.isAwaited()) {
+    if (request == null) {
+      reportNotSent(requestId, endpointId, true);
+      return;
+    }
+    if (!request.isAttemptInFlight() && !request.readAndCheckAwaited()) {
+      // The client has disconnected, or may have done so unseen: the request ends here.
       fail(request);
     }
-    if (request != null && request.isResponded()) {
+    if (request.isResponded()) {
       log.count(NodeLog.Event.ATTEMPT_SKIPPED);
+      reportNotSent(requestId, endpointId, true);
+      return;
     }
-    if (request == null || request.isResponded() || !mayStartAttempt(request)) {
-      reportNotSent(requestId, endpointId, request == null || request.isResponded());
+    if (!mayStartAttempt(request)) {
+      reportNotSent(requestId, endpointId, false);
       return;
     }
     if (request.attempts() > 0) {
--- a/src/main/java/merlinrouter/node/config/ConfigFile.java
+++ b/src/main/java/merlinrouter/node/config/ConfigFile.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The configuration file, read again where that fails for a moment: the process may be out of file
+ * Reads the configuration file and retries transient failures: the process may be out of file
  * descriptors, the disk may fail a read, and a replacement of the file may not be complete yet.
  */
 public final class ConfigFile {
@@ -23,7 +23,8 @@
   /**
    * Reads the file for a start. Blocks for up to a second while the file cannot be read.
    *
-   * @throws InvalidConfigException at once if what the file holds cannot be used
+   * @throws UnreadableConfigException if the file still cannot be read
+   * @throws InvalidConfigException at once if its content cannot be used
    */
   public NodeConfig read()
       throws InvalidConfigException, UnreadableConfigException, InterruptedException {
@@ -39,7 +40,10 @@
 
   /**
    * Reads the file while the node serves. It may be replaced at the same moment, so invalid content
-   * is read again too.
+   * is read again too. Blocks for up to about 2 s.
+   *
+   * @throws UnreadableConfigException if the file still cannot be read
+   * @throws InvalidConfigException if its content still cannot be used
    */
   public NodeConfig reload()
       throws InvalidConfigException, UnreadableConfigException, InterruptedException {
--- a/src/main/java/merlinrouter/node/config/EndpointListReader.java
+++ b/src/main/java/merlinrouter/node/config/EndpointListReader.java
@@ -59,6 +59,7 @@
     return switch (text) {
       case EndpointListKeys.READY -> EndpointState.READY;
       case EndpointListKeys.REMOVED -> EndpointState.REMOVED;
+      // Also for an unknown state: no new requests, those in flight may end.
       default -> EndpointState.DRAINING;
     };
   }
--- a/src/main/java/merlinrouter/node/counter/CounterConnection.java
+++ b/src/main/java/merlinrouter/node/counter/CounterConnection.java
@@ -101,8 +101,8 @@
   }
 
   /**
-   * A call of this connection has timed out. The connection is given up if it is silent, if the
-   * call is still to be written and must not be any more, or if a response began, which will not be
+   * A call of this connection has timed out. The connection is closed if it is silent, if the call
+   * is still to be written and must not be any more, or if a response began, which will not be
    * completed.
    */
   void callTimedOut(CounterCall call) {
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Gives the connection up and ends its calls in their order; later calls need another one. */
+  /** Closes the connection and ends its calls in their order; later calls need another one. */
   void close() {
     if (closed) {
       return;
--- a/src/main/java/merlinrouter/node/counter/CounterResponse.java
+++ b/src/main/java/merlinrouter/node/counter/CounterResponse.java
@@ -15,13 +15,19 @@
  * @param connectionUsable whether the connection may carry further calls
  */
 record CounterResponse(Outcome outcome, double total, boolean connectionUsable) {
+  private static final int STATUS_ADDED = 200;
+  private static final int STATUS_BAD_REQUEST = 400;
+  private static final int STATUS_NOT_FOUND = 404;
+  private static final int STATUS_UNAVAILABLE = 503;
 
   /** Reads a response; the body stays the caller's. */
   static CounterResponse of(HttpResponse head, ByteBuf body) {
     boolean keepAlive = HttpUtil.isKeepAlive(head);
     return switch (head.status().code()) {
-      case 200 -> added(body, keepAlive);
-      case 503, 400, 404 -> new CounterResponse(Outcome.REJECTED, 0, keepAlive);
+      case STATUS_ADDED -> added(body, keepAlive);
+      // The counter rejects a call before it adds anything.
+      case STATUS_UNAVAILABLE, STATUS_BAD_REQUEST, STATUS_NOT_FOUND ->
+          new CounterResponse(Outcome.REJECTED, 0, keepAlive);
       default -> new CounterResponse(Outcome.RESET, 0, false);
     };
   }
--- a/src/main/java/merlinrouter/node/counter/CounterShard.java
+++ b/src/main/java/merlinrouter/node/counter/CounterShard.java
@@ -33,8 +33,8 @@
   /** Starts a call. All calls of one turn of the event loop are flushed together. */
   void add(CounterCall call) {
     if (connection != null && waiting.size() + connection.pendingCalls() >= MAX_OPEN_CALLS) {
-      // Without responses for so long: the open calls end in their order, this one is written to
-      // a new connection.
+      // Too many calls are unanswered: they end in their order, and this one goes to a new
+      // connection.
       connection.close();
     }
     if (connection == null) {
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -21,14 +21,15 @@
 import merlinrouter.node.transport.Transport;
 
 /**
- * Watches the endpoint list, from the last revision received on. What discovery holds counts as
- * delivered whether or not a watch is open, so a watch that ends, falls silent or is not answered
- * is replaced well within the time that draining allows. Used on the event loop only.
+ * Watches the endpoint list, from the last revision received on. By the rules of the service a node
+ * counts as notified of a change some time after discovery published it, whether or not a watch was
+ * open. A watch that ends, falls silent or gets no response is therefore replaced well within the
+ * time that is allowed for draining. Used on the event loop only.
  */
 public final class DiscoveryClient {
   /**
-   * Discovery writes a line every 2 s at least, and what a silent watch misses counts as delivered
-   * 6 s after it fell silent.
+   * Discovery writes at least every 2 s, and a node counts as notified of what a silent watch
+   * missed 6 s after the silence began.
    */
   private static final int READ_TIMEOUT_SECONDS = 3;
 
@@ -174,16 +175,20 @@
     if (wasCurrent) {
       current = null;
     }
-    // Otherwise it was given up, or others are open and the next watch is scheduled already.
-    boolean noneLeft =
-        wasCurrent || unanswered.remove(channel) && unanswered.isEmpty() && current == null;
-    if (noneLeft) {
+    // A watch that is neither was replaced; while others are open the next one is scheduled
+    // already.
+    boolean wasUnanswered = unanswered.remove(channel);
+    boolean wasLastUnanswered = wasUnanswered && unanswered.isEmpty() && current == null;
+    if (wasCurrent || wasLastUnanswered) {
       scheduleWatch(backoffMillis);
       backoffMillis = Math.min(timeouts.maxBackoffMillis(), 2 * backoffMillis);
     }
   }
 
-  /** A watch is being answered: it becomes the current one unless it is or was, or was given up. */
+  /**
+   * A response started: an unanswered watch becomes the current one, and the other unanswered ones
+   * are closed. Has no effect on any other watch.
+   */
   void responseStarted(Channel channel) {
     if (unanswered.remove(channel)) {
       nextWatch.cancel(false);
--- a/src/main/java/merlinrouter/node/discovery/WatchHandler.java
+++ b/src/main/java/merlinrouter/node/discovery/WatchHandler.java
@@ -67,7 +67,7 @@
     return part instanceof HttpResponse response && response.status().code() != STATUS_OK;
   }
 
-  /** Behind a list that was cut short, later lists would pass for its rest, and keep the watch. */
+  /** Closes the watch if a list stays incomplete: later lists would be parsed as its rest. */
   private void updateCompletionTimeout(ChannelHandlerContext context) {
     if (framer.isBetweenLists() && completionTimeout != null) {
       completionTimeout.cancel(false);
--- a/src/main/java/merlinrouter/node/discovery/WatchTimeouts.java
+++ b/src/main/java/merlinrouter/node/discovery/WatchTimeouts.java
@@ -9,15 +9,16 @@
  */
 record WatchTimeouts(long maxBackoffMillis, long responseTimeoutMillis) {
   /**
-   * An agent pushes the list and answers at once, free of charge. An agent that comes back counts
-   * what it holds as delivered; half of the second that draining allows is left for that.
+   * A local agent pushes the list; it responds at once, and watches cost nothing. After its restart
+   * a change has to be received within the second that is allowed for draining; half of that is
+   * left for the response.
    */
   private static final WatchTimeouts PUSHED = new WatchTimeouts(250, 500);
 
   /**
-   * A discovery that must be asked is spared. Yet whatever calls fail, a change counts as delivered
-   * 6 s after discovery had it and could be reached: there is time for another call behind a
-   * silence of 3 s, a pause and a call without a response.
+   * Watches load a discovery that has to be polled, so they are opened less often. A change has to
+   * be received within 6 s: after 3 s of silence, a pause and a call without a response there is
+   * time for another call.
    */
   private static final WatchTimeouts POLLED = new WatchTimeouts(500, 1_000);
 
--- a/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
+++ b/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
@@ -3,11 +3,11 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.EventLoop;
 import io.netty.channel.MaxMessagesRecvByteBufAllocator;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.transport.EventLoops;
 
 /**
  * Pauses and resumes accepting, and knows since when a connection that is accepted now may have
@@ -21,7 +21,7 @@
    * Keeps a lasting failure, such as a full descriptor table, from occupying the event loop, and is
    * short against the shortest timeout of a client.
    */
-  private static final long FAILURE_PAUSE_MS = 10;
+  private static final long FAILURE_PAUSE_MILLIS = 10;
 
   private final NodeLog log;
   private final LongSupplier previousPollNanos;
@@ -68,12 +68,9 @@
     }
     acceptedSinceResume = false;
     listeningChannel.config().setAutoRead(true);
-    // The second task runs after a poll: if that accepted no connection, none had waited.
-    EventLoop loop = listeningChannel.eventLoop();
-    loop.schedule(
-        () -> loop.schedule(() -> endPauseIfNoneWaited(listeningChannel), 0, TimeUnit.NANOSECONDS),
-        0,
-        TimeUnit.NANOSECONDS);
+    // If the next poll accepts no connection, none had waited.
+    EventLoops.runAfterNextPoll(
+        listeningChannel.eventLoop(), 0, () -> endPauseIfNoneWaited(listeningChannel));
   }
 
   private void endPauseIfNoneWaited(Channel listeningChannel) {
@@ -111,7 +108,7 @@
     pause(listeningChannel, previousPollNanos.getAsLong());
     listeningChannel
         .eventLoop()
-        .schedule(() -> retry(listeningChannel), FAILURE_PAUSE_MS, TimeUnit.MILLISECONDS);
+        .schedule(() -> retry(listeningChannel), FAILURE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void retry(Channel listeningChannel) {
--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -139,7 +139,7 @@
     if (decoder.isPaused() && hasTooManyPipelinedBytes()) {
       presence.pauseReading();
     } else if (head != null && !closing && !budget.allows(budgetedBytes)) {
-      reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
+      refuseAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
     }
   }
 
@@ -168,7 +168,7 @@
     }
     long elapsedNanos = System.nanoTime() - stateSinceNanos;
     if (receiving && !closing && elapsedNanos > REQUEST_TIMEOUT_NANOS) {
-      reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
+      refuseAndClose(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
     } else if ((closing || !receiving) && elapsedNanos > IDLE_TIMEOUT_NANOS) {
       initiateClose("idle timeout");
     }
@@ -189,7 +189,7 @@
       return;
     }
     if (part.decoderResult().isFailure()) {
-      reject(HttpResponseStatus.BAD_REQUEST, "this is no request that can be read");
+      refuseAndClose(HttpResponseStatus.BAD_REQUEST, "this is no request that can be read");
       return;
     }
     if (part instanceof HttpRequest requestHead) {
@@ -198,7 +198,7 @@
       checkBodyLength(requestHead);
     }
     if (part instanceof HttpContent content && !closing && !body.add(content.content())) {
-      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+      refuseAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
     if (part instanceof LastHttpContent && !closing) {
       receivedRequest = true;
@@ -220,9 +220,9 @@
   private void checkBodyLength(HttpRequest requestHead) {
     long length = HttpUtil.getContentLength(requestHead, 0L);
     if (length > ClientProtocol.MAX_BODY_BYTES) {
-      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+      refuseAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     } else if (!budget.allows(length)) {
-      reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
+      refuseAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
     } else if (HttpUtil.is100ContinueExpected(requestHead)) {
       responses.writeContinue();
     }
@@ -246,7 +246,7 @@
       handOver(requestHead, content);
     } catch (InvalidRequestException e) {
       content.release();
-      reject(e.status(), e.getMessage());
+      refuseAndClose(e.status(), e.getMessage());
     }
   }
 
@@ -271,7 +271,7 @@
 
   private void handleHealthCheck(HttpMethod method) {
     if (!method.equals(HttpMethod.GET)) {
-      reject(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
+      refuseAndClose(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
       return;
     }
     boolean ready = handler.isReady() && !registry.isDraining();
@@ -281,8 +281,11 @@
         0);
   }
 
-  /** Rejects an invalid request. Nothing behind it is read, since that may be a part of it. */
-  private void reject(HttpResponseStatus status, String reason) {
+  /**
+   * Responds with an error before the gateway has seen the request, and closes. Later bytes are not
+   * read: they may belong to this request.
+   */
+  private void refuseAndClose(HttpResponseStatus status, String reason) {
     handler.log().count(NodeLog.Event.BAD_REQUEST);
     keepAlive = false;
     head = null;
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.node.config.NodeConfig;
+import merlinrouter.node.transport.EventLoops;
 import merlinrouter.node.transport.Transport;
 
 /** Listens for client connections, and stops listening in a drain. */
@@ -154,12 +155,8 @@
    */
   public void stopAccepting(CompletableFuture<Void> drained) {
     if (listeningChannel != null && acceptThrottle.hasFailed()) {
-      // Closing the socket would reset connections that are established but not accepted yet. The
-      // second task runs after one more poll.
-      loop.schedule(
-          () -> loop.schedule(() -> stopAccepting(drained), 0, TimeUnit.NANOSECONDS),
-          ACCEPT_FAILURE_RECHECK_NANOS,
-          TimeUnit.NANOSECONDS);
+      // Closing the socket would reset connections that are established but not accepted yet.
+      EventLoops.runAfterNextPoll(loop, ACCEPT_FAILURE_RECHECK_NANOS, () -> stopAccepting(drained));
       return;
     }
     registry.setDrained(drained);
--- a/src/main/java/merlinrouter/node/downstream/HeaderValues.java
+++ b/src/main/java/merlinrouter/node/downstream/HeaderValues.java
@@ -8,6 +8,9 @@
  * is rejected.
  */
 final class HeaderValues {
+  /** The last character of ASCII. */
+  private static final char DELETE = 127;
+
   private static final int MAX_DECIMAL_DIGITS = 15;
   private static final int DECIMAL = 10;
 
@@ -51,7 +54,7 @@
     String value = required(headers, name);
     boolean valid = value.length() <= ClientProtocol.MAX_TOKEN_LENGTH;
     for (int i = 0; valid && i < value.length(); i++) {
-      valid = value.charAt(i) > ' ' && value.charAt(i) < 127;
+      valid = value.charAt(i) > ' ' && value.charAt(i) < DELETE;
     }
     if (!valid) {
       throw InvalidRequestException.badRequest(name + " is no name");
@@ -84,7 +87,7 @@
   /** Whether all characters are ASCII digits of a radix. */
   static boolean hasOnlyDigits(String text, int radix) {
     for (int i = 0; i < text.length(); i++) {
-      if (text.charAt(i) > 127 || Character.digit(text.charAt(i), radix) < 0) {
+      if (text.charAt(i) > DELETE || Character.digit(text.charAt(i), radix) < 0) {
         return false;
       }
     }
--- a/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
+++ b/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
@@ -26,7 +26,11 @@
     maxBytes = Math.max(MIN_BUDGET_BYTES, Math.min(MAX_BUDGET_BYTES, memoryBytes / MEMORY_DIVISOR));
   }
 
-  /** Whether a request that holds, or will hold, so many bytes may go on growing. */
+  /**
+   * Whether a request that holds, or will hold, some bytes may go on growing. The bytes decide only
+   * whether it counts as small; they are not added, so that the budget may be exceeded by one
+   * request.
+   */
   public boolean allows(long requestBytes) {
     long limit =
         requestBytes > SMALL_REQUEST_BYTES
--- a/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
@@ -14,7 +14,11 @@
   /** Whether no request is open on it, nor received in part. */
   boolean isBetweenRequests();
 
-  /** When the request that is being received started, or else when the connection fell idle. */
+  /**
+   * Since when it has been in its present state: the accept, until a whole request has been
+   * received; later the first byte of the request that is being received, or else the last
+   * response.
+   */
   long stateSinceNanos();
 
   /** Whether it is not read from at present. */
@@ -24,7 +28,7 @@
   void enforceTimeouts();
 
   /**
-   * Closes it without being asked to. Does nothing, apart from counting a violation, if a request
+   * Closes it on the node's initiative. Does nothing, apart from counting a violation, if a request
    * is open on it.
    */
   void initiateClose(String reason);
--- a/src/main/java/merlinrouter/node/logging/NodeLog.java
+++ b/src/main/java/merlinrouter/node/logging/NodeLog.java
@@ -13,27 +13,27 @@
   public enum Event {
     /** An accept failed in this process. */
     ACCEPT_FAILED,
-    /** A socket could not be made or bound in this process; nothing was sent to any peer. */
+    /** A connection to an endpoint or to discovery failed in this process; nothing was sent. */
     LOCAL_CONNECT_FAILED,
     /** A request's client disconnected before its response. */
     CLIENT_DISCONNECTED,
-    /** An attempt was not begun since its client had disconnected. */
+    /** An attempt was not started: no response was owed, or the client may have disconnected. */
     ATTEMPT_SKIPPED,
-    /** A second or later attempt of a request began. */
+    /** A second or later attempt of a request was started. */
     RETRIED,
-    /** A request was rejected: it is certain that it had no effect. */
+    /** A request was rejected: a retry by its client is harmless. */
     REJECTED,
-    /** A request failed: it may have had an effect. */
+    /** A request got a 502: it is unknown whether it had an effect. */
     FAILED,
-    /** A client's connection was closed between requests. */
+    /** The node closed a client connection without an open request: idle, evicted or shut down. */
     IDLE_CLOSED,
-    /** A client sent something that is not a valid request. */
+    /** A request was refused before the gateway saw it: malformed, too slow or too large. */
     BAD_REQUEST,
-    /** An endpoint began a response that is malformed. */
-    MALFORMED_RESPONSE,
-    /** A request had no final response at its deadline. */
+    /** An attempt's connection ended, or its response was malformed, before it was complete. */
+    RESPONSE_INCOMPLETE,
+    /** A request had no final response shortly after its deadline, and was failed. */
     OVERDUE,
-    /** The event loop was stalled for longer than a request can bear. */
+    /** The event loop was stalled for longer than the rules of the service allow for. */
     EVENT_LOOP_STALLED,
     /** The wall clock stepped. */
     CLOCK_STEPPED
--- a/src/main/java/merlinrouter/node/request/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/request/OpenRequest.java
@@ -120,9 +120,10 @@
   }
 
   /**
-   * Whether the client still waits for a response, as far as can be known. Reads its connection.
+   * Reads the client's connection, and returns whether the client still waits for a response as far
+   * as can be known. The client's disconnect may be handled before this returns.
    */
-  public boolean isAwaited() {
+  public boolean readAndCheckAwaited() {
     return !responded && !responseSink.readAndCheckDisconnected();
   }
 
--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -56,9 +56,9 @@
     return written;
   }
 
-  /** Whether the client still waits for the response, as far as can be known. */
-  boolean isAwaited() {
-    return request.isAwaited();
+  /** Reads the client's connection, and returns whether the client still waits for the response. */
+  boolean readAndCheckAwaited() {
+    return request.readAndCheckAwaited();
   }
 
   void scheduleTimeout(EventLoop loop) {
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -40,6 +40,7 @@
     connectTimeoutNanos = Math.max(MIN_CONNECT_TIMEOUT_NANOS, config.connectTimeoutNanos());
     double maxChargedUnits = config.settings().counter().maxRequestUnits();
     bootstrap =
+        // All addresses are of one kind, TCP or Unix; discovery has one in any configuration.
         Transport.connecting(loop, config.discovery())
             .handler(
                 new ChannelInitializer<Channel>() {
@@ -106,7 +107,7 @@
     if (attempt.isEnded()) {
       return;
     }
-    if (late || pool.isRetired() || !attempt.isAwaited()) {
+    if (late || pool.isRetired() || !attempt.readAndCheckAwaited()) {
       attempt.end(Outcome.NOT_SENT);
     } else {
       connect(pool, attempt);
--- a/src/main/java/merlinrouter/node/upstream/EndpointPool.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointPool.java
@@ -47,7 +47,7 @@
   /** Takes an open connection that may be written to; null if there is none. */
   UpstreamConnection acquire() {
     UpstreamConnection connection = pollReusable();
-    while (connection != null && !connection.isStillOpen()) {
+    while (connection != null && !connection.readAndCheckOpen()) {
       connection = pollReusable();
     }
     return connection;
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -13,6 +13,7 @@
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
 import merlinrouter.node.logging.NodeLog;
+import merlinrouter.node.transport.EventLoops;
 
 /**
  * An HTTP/1.1 connection to an endpoint with one request at a time. It belongs to the pool of its
@@ -39,7 +40,7 @@
   private EndpointPool pool;
   private Attempt attempt;
 
-  /** Whether a response came behind which the connection may be reused. */
+  /** Whether a response was received after which the connection may be reused. */
   private boolean reusable;
 
   private boolean quietPeriodOver = true;
@@ -84,10 +85,10 @@
   }
 
   /**
-   * Whether it is open after all was read that may have arrived: the endpoint's close, or bytes
-   * that belong to no request, on which it is closed.
+   * Reads the connection, and returns whether it is open then: the endpoint's close may have
+   * arrived, or bytes that belong to no request, on which it is closed.
    */
-  boolean isStillOpen() {
+  boolean readAndCheckOpen() {
     if (channel.isActive()) {
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
@@ -101,7 +102,7 @@
 
   /** Writes an attempt's request, unless the client has disconnected or the attempt has ended. */
   void write(Attempt next) {
-    if (!next.isEnded() && !next.isAwaited()) {
+    if (!next.isEnded() && !next.readAndCheckAwaited()) {
       // The client disconnected while the connection was being opened.
       log.count(NodeLog.Event.ATTEMPT_SKIPPED);
       next.end(Outcome.NOT_SENT);
@@ -152,7 +153,7 @@
 
   /**
    * Decides on the reuse of the connection. Only here, when all that was read has been decoded, is
-   * it known whether bytes stand behind a response, which would pass for the next request's.
+   * it known whether other bytes follow a response: these would pass for the next request's.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
@@ -169,17 +170,10 @@
     }
   }
 
-  /**
-   * The time alone is not enough: an event loop that stalled has not read what arrived meanwhile. A
-   * task that is scheduled from within a task without a delay runs after the next poll of the
-   * sockets.
-   */
+  /** The time alone is not enough: an event loop that stalled has not read what arrived. */
   private void startQuietPeriod() {
     quietPeriodOver = false;
-    loop.schedule(
-        () -> loop.schedule(() -> quietPeriodOver = true, 0, TimeUnit.NANOSECONDS),
-        QUIET_PERIOD_NANOS,
-        TimeUnit.NANOSECONDS);
+    EventLoops.runAfterNextPoll(loop, QUIET_PERIOD_NANOS, () -> quietPeriodOver = true);
   }
 
   private void updateCompletionTimeout(boolean responseIncomplete) {
@@ -199,7 +193,7 @@
     updateCompletionTimeout(false);
     if (attempt != null) {
       log.request(
-          NodeLog.Event.MALFORMED_RESPONSE, attempt.requestId(), "by " + attempt.endpointId());
+          NodeLog.Event.RESPONSE_INCOMPLETE, attempt.requestId(), "by " + attempt.endpointId());
     }
     if (pool != null) {
       pool.remove(this);
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -58,16 +58,17 @@
    * restarted are closed once they are idle.
    *
    * @param update the list or its changed entries
-   * @param complete whether endpoints that the update does not name are removed
+   * @param removeUnlisted whether endpoints that the update does not name are removed
    * @return the update as the gateway should see it: an endpoint is removed as well if another one
    *     started at its address later
    */
-  public List<Endpoint> update(EndpointList update, boolean complete) {
-    return pools.update(update, complete);
+  public List<Endpoint> update(EndpointList update, boolean removeUnlisted) {
+    return pools.update(update, removeUnlisted);
   }
 
   /**
-   * Starts an attempt; the listener is notified of its end, never from within this call.
+   * Starts an attempt; the listener is notified of its end exactly once, possibly before this
+   * method returns.
    *
    * @param request the request to forward
    * @param endpointId the endpoint to forward it to
--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -11,10 +11,7 @@
  * higher the priority that a call must have, relative to the mean.
  */
 final class CounterCallRateLimiter {
-  /**
-   * Initial calls per second of all gateways together; a fifth of the least that a counter was
-   * found to bear.
-   */
+  /** Initial calls per second of all gateways together, well below what a counter bears. */
   private static final double INITIAL_FLEET_CALLS_PER_SECOND = 200;
 
   /** A gateway begins with at least this many calls per second, whatever the fleet's size. */
--- a/src/main/java/merlinrouter/quota/HardLimitBucket.java
+++ b/src/main/java/merlinrouter/quota/HardLimitBucket.java
@@ -5,7 +5,7 @@
 /**
  * The token bucket of a customer's hard limit. It has to hold whatever the other gateways do, so
  * each gateway keeps to its part of the rate and the burst. It starts empty: a restarted gateway
- * cannot know what it let in before.
+ * cannot know what it admitted before.
  */
 final class HardLimitBucket {
   private final double fleetUnitsPerSecond;
