--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -51,10 +51,10 @@
             .get();
   }
 
-  private NodeConfig configWithCounter(ScriptedServer at) throws Exception {
+  private NodeConfig configWithCounter(ScriptedServer server) throws Exception {
     return NodeConfigReader.parse(
         withSetting(
-            configJson().replace(counter.address(), at.address()),
+            configJson().replace(counter.address(), server.address()),
             "count-wait-ns",
             2_000_000_000L));
   }
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Watches that end, fall silent, are not answered or are cut short. Where a duration matters it is
+ * Watches that end, fall silent, get no response or are cut short. Where a duration matters it is
  * compared with another timer of the node's own event loop: these fire in the order of their
  * deadlines, however slow the machine is.
  */
@@ -56,7 +56,8 @@
   }
 
   /**
-   * Otherwise a list that comes when discovery is back waits for the unanswered watch's timeout.
+   * Otherwise a list that comes when discovery is back waits for the timeout of the watch without a
+   * response.
    */
   @Test
   void anotherWatchIsOpenedBesideAnUnansweredOne() throws Exception {
@@ -75,17 +76,18 @@
     EdgeNode node = startNode(configJson());
     discovery.awaitRequest();
     discovery.awaitRequest();
-    assertTrue(discovery.endedConnections.isEmpty(), "the unanswered one may be answered yet");
+    assertTrue(
+        discovery.endedConnections.isEmpty(), "the watch without a response may get one yet");
     discoveryBack.complete(null);
     awaitServed(node);
     discovery.endedConnections.take();
     assertEquals(
         1,
         node.loop().submit(() -> node.discovery().openWatches()).get(),
-        "only the answered watch stays open");
+        "only the watch with a response stays open");
   }
 
-  /** The backoff must stay below the second that draining allows: the agent answers at once. */
+  /** The backoff must stay below the second that draining allows: the agent responds at once. */
   @Test
   void afterManyFailuresAWatchIsReopenedWithinTheDrainingSecond() throws Exception {
     discovery = startServer(request -> request.connection().close());
@@ -118,7 +120,8 @@
 
   /**
    * Where the list must be subscribed to, too, an update counts as delivered 6 s after discovery
-   * had it: here a watch falls silent after some that ended, and the next one is never answered.
+   * had it: here a watch falls silent after some that ended, and the next one never gets a
+   * response.
    */
   @Test
   void aSubscribedListIsPolledWithin6SecondsThoughWatchesFailAndFallSilent() throws Exception {
--- a/src/test/java/merlinrouter/node/EdgeNodeTest.java
+++ b/src/test/java/merlinrouter/node/EdgeNodeTest.java
@@ -11,8 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Forwarding between scripted peers on loopback sockets; each test waits for events, never for a
- * time.
+ * Forwarding between clients and scripted servers; each test waits for events, never for a time.
  */
 @Timeout(120)
 class EdgeNodeTest extends NodeFixture {
--- a/src/test/java/merlinrouter/node/EventLoopFixture.java
+++ b/src/test/java/merlinrouter/node/EventLoopFixture.java
@@ -60,7 +60,7 @@
     writeRequest(client, "GET /api", requestHeaders(requestId, "lookup", "20000"), "");
   }
 
-  /** Answers each request with 200, but {@code t-1} completes {@code first} and is left open. */
+  /** Responds with 200, but request {@code t-1} completes {@code first} and gets no response. */
   ScriptedServer startServerThatHoldsFirst(CompletableFuture<ScriptedServer.Message> first)
       throws IOException {
     return startServer(
--- a/src/test/java/merlinrouter/node/FullBacklogServer.java
+++ b/src/test/java/merlinrouter/node/FullBacklogServer.java
@@ -33,7 +33,7 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Accepts all connections; completes with the first request, and answers it. */
+  /** Accepts all connections; completes with the first request, and responds to it. */
   CompletableFuture<ScriptedServer.Message> acceptAll() throws IOException {
     for (Socket socket : queued) {
       socket.close();
@@ -43,14 +43,14 @@
         () -> {
           while (true) {
             Socket connection = listener.accept();
-            ScriptedServer.startThread(() -> answer(connection, firstRequest));
+            ScriptedServer.startThread(() -> respond(connection, firstRequest));
           }
         });
     return firstRequest;
   }
 
   /** A connection of the queue ends with no request. */
-  private static void answer(
+  private static void respond(
       Socket connection, CompletableFuture<ScriptedServer.Message> firstRequest)
       throws IOException {
     ScriptedServer.Message request = ScriptedServer.readMessage(connection);
--- a/src/test/java/merlinrouter/node/GracefulShutdownTest.java
+++ b/src/test/java/merlinrouter/node/GracefulShutdownTest.java
@@ -25,7 +25,7 @@
     writeKeyedRequest(busy, "t-1");
     server.awaitRequest();
     CompletableFuture<Void> drained = node.drain();
-    // Clients go on connecting for a while after SIGTERM, and their requests must be answered.
+    // Clients go on connecting for a while after SIGTERM, and their requests must get responses.
     Socket late = connect(node);
     writeKeyedRequest(late, "t-2");
     server.awaitRequest();
--- a/src/test/java/merlinrouter/node/NodeFixture.java
+++ b/src/test/java/merlinrouter/node/NodeFixture.java
@@ -60,12 +60,12 @@
     return server;
   }
 
-  /** A server that answers each request with 200 and the same body. */
+  /** A server that responds to each request with 200 and the same body. */
   ScriptedServer startOkServer(String body) throws IOException {
     return startServer(request -> request.respond(ScriptedServer.okResponse("", body)));
   }
 
-  /** Like {@link #startOkServer}, but no request is answered before {@code proceed} completes. */
+  /** Like {@link #startOkServer}, but there is no response before {@code proceed} completes. */
   ScriptedServer startOkServer(String body, CompletableFuture<Void> proceed) throws IOException {
     return startServer(
         request -> {
