--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -11,10 +11,7 @@
  * higher the priority that a call must have, relative to the mean.
  */
 final class CounterCallRateLimiter {
-  /**
-   * Initial calls per second of all gateways together; a fifth of the least that a counter was
-   * found to bear.
-   */
+  /** Initial calls per second of all gateways together, well below what a counter bears. */
   private static final double INITIAL_FLEET_CALLS_PER_SECOND = 200;
 
   /** A gateway begins with at least this many calls per second, whatever the fleet's size. */
@@ -23,7 +20,7 @@
   /** Calls per second while the counter is silent. */
   private static final double SILENT_CALLS_PER_SECOND = 1;
 
-  /** While calls are answered the rate does not fall below this part of its initial value. */
+  /** While calls are answered the rate does not fall below this fraction of its initial value. */
   private static final double MIN_ANSWERED_FRACTION = 1.0 / 4;
 
   private static final double MIN_UNANSWERED_CALLS_PER_SECOND = 1;
@@ -34,7 +31,7 @@
    */
   private static final double GAIN_PER_SECOND = 1;
 
-  /** The rate is steady where calls take this part of their timeout. */
+  /** The rate is steady where calls take this fraction of their timeout. */
   private static final double TARGET_TIMEOUT_FRACTION = 0.5;
 
   /** Bound on how strongly a slow call lowers the rate. */
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -4,13 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
-import java.io.InputStreamReader;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.TimeUnit;
+import java.util.Map;
 import java.util.stream.Stream;
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.config.NodeConfigReader;
@@ -18,74 +15,56 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node does before it serves, and that nobody but itself hears of it. */
+/** The JVM warm-up before a node serves, which no other process notices. */
 class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
-  private long left() throws Exception {
+  private long fileCount() throws Exception {
     try (Stream<Path> files = Files.list(folder)) {
       return files.count();
     }
   }
 
   @Test
-  void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
-    NodeConfig config = NodeConfigReader.parse(config(member("s-0", server.address(), "Ready", 0)));
-    assertTrue(WarmUp.hold(config, 200, 60_000, folder) > 100);
-    assertNull(server.seen.poll());
-    assertNull(counter.seen.poll());
-    assertNull(discovery.seen.poll());
-    assertEquals(0, left(), "it must leave no file");
+  void requestsPassTheWholeNodeAndReachNoPeer() throws Exception {
+    ScriptedServer server = startOkServer("real");
+    NodeConfig config =
+        NodeConfigReader.parse(configJson(readyEndpointJson("s-0", server.address())));
+    assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
+    assertNull(server.received.poll());
+    assertNull(counter.received.poll());
+    assertNull(discovery.received.poll());
+    assertEquals(0, fileCount(), "it must leave no file");
   }
 
   @Test
-  void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
-    NodeConfig config = NodeConfigReader.parse(config());
-    WarmUp.hold(config, Integer.MAX_VALUE, 1, folder);
-    assertEquals(0, left());
-    assertEquals(0, WarmUp.hold(config, 1, 60_000, folder.resolve("none")));
+  void itEndsWhenItsTimeIsUpAndIsSkippedWithoutAFolder() throws Exception {
+    NodeConfig config = NodeConfigReader.parse(configJson());
+    WarmUp.run(config, Integer.MAX_VALUE, 1, folder);
+    assertEquals(0, fileCount());
+    assertEquals(0, WarmUp.run(config, 1, 60_000, folder.resolve("none")));
   }
 
-  /**
-   * A node that serves unrehearsed turned most of its first clients away: the first answer comes
-   * after it.
-   */
+  /** A node that serves without a warm-up rejects most of its first requests. */
   @Test
-  void theProgramRehearsesBeforeItServes() throws Exception {
-    ScriptedServer server = peer(m -> m.answer(ScriptedServer.ok("", "real")));
+  void theProgramWarmsUpBeforeItServes() throws Exception {
+    ScriptedServer server = startOkServer("real");
     Path file = folder.resolve("config.json");
-    Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
-    ProcessBuilder builder =
-        new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "merlinrouter.Main",
-                "serve")
-            .redirectErrorStream(true);
-    builder.environment().put("GW_CONFIG", file.toString());
-    builder.environment().put("TMPDIR", folder.toString());
-    Process process = builder.start();
-    toClose.add(process::destroyForcibly);
-    BufferedReader said =
-        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String line = said.readLine();
-    while (line != null && !line.startsWith("rehearsed with")) {
-      assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
-      line = said.readLine();
+    Files.writeString(file, configJson(readyEndpointJson("s-0", server.address())));
+    NodeProcess process = NodeProcess.start(file, Map.of("TMPDIR", folder.toString()));
+    resources.add(process);
+    String line = process.readLine();
+    while (line != null && !line.startsWith(NodeProcess.WARMED_UP)) {
+      assertTrue(!line.startsWith(NodeProcess.SERVING), "it serves without a warm-up");
+      line = process.readLine();
     }
-    assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
-    line = said.readLine();
-    assertTrue(line.startsWith("serving on"), line);
-    try (Socket client =
-        new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
-      client.setSoTimeout(60_000);
-      assertEquals("200", ask(client, "t-1"));
+    assertTrue(Integer.parseInt(line.split(" ")[3]) > 0, line);
+    line = process.readLine();
+    assertTrue(line.startsWith(NodeProcess.SERVING), line);
+    try (Socket client = connect(NodeProcess.addressOf(line))) {
+      assertEquals("200", requestStatus(client, "t-1"));
     }
-    process.destroy();
-    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(0, process.exitValue());
-    assertEquals(1, left(), "only the configuration is left");
+    assertEquals(0, process.terminate());
+    assertEquals(1, fileCount(), "only the configuration is left");
   }
 }
