--- a/deploy/build-class-archive.sh
+++ b/deploy/build-class-archive.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Part of the build: runs an edge node for a moment and has the JVM archive the classes it loaded
-# (class-data sharing). Half of a start's CPU time went into loading them, on the one core that an edge node
-# shares. The node is its own app server, discovery and counter here: all of them answer 4xx, and the classes
-# for talking to them are loaded all the same. Without an archive `run` still works, it only starts slower.
+# Part of the build: runs an edge node for a moment and has the JVM archive the classes that it loaded (class-data
+# sharing), so that a start does not spend half of its CPU time on loading them. The node is its own endpoint,
+# discovery and counter here: all of them respond with 4xx, and the classes for calling them are loaded all the
+# same. Without an archive `run` still works, but the start is slower.
 set -u
 cd "$(dirname "$0")/.."
-# A port of its own for each build, below those that the system gives out: two may be built at once.
+# A port for each build, below the system's ephemeral ports, so that two builds may run at once.
 port=$((20000 + $$ % 10000))
 sed "s/127\.0\.0\.1:18093/127.0.0.1:$port/" deploy/class-archive-node.json > target/archive.json
 GW_CONFIG=target/archive.json java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:C1MaxInlineSize=8 \
