--- a/src/test/java/merlinrouter/node/AttemptRaceTest.java
+++ b/src/test/java/merlinrouter/node/AttemptRaceTest.java
@@ -47,6 +47,7 @@
                 400_000_000L));
     assertEquals("200", requestStatus(connect(node), "t-1"));
     Socket firstConnection = server.awaitRequest().connection();
+    awaitReusableConnection(node);
     CompletableFuture<String> response =
         callOnEventLoop(
             node,
--- a/src/test/java/merlinrouter/node/ClientRaceTest.java
+++ b/src/test/java/merlinrouter/node/ClientRaceTest.java
@@ -8,7 +8,6 @@
 import java.net.Socket;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -173,8 +172,7 @@
     // This leaves an idle connection, on which a retry could be sent at once.
     writeIdempotentRequest(connect(node), "t-0");
     server.awaitRequest();
-    awaitOnEventLoop(node, () -> node.pool().idle() == 1);
-    node.loop().schedule(() -> {}, 30, TimeUnit.MILLISECONDS).get();
+    awaitReusableConnection(node);
     runOnEventLoop(
         node,
         () -> {
--- a/src/test/java/merlinrouter/node/EventLoopFixture.java
+++ b/src/test/java/merlinrouter/node/EventLoopFixture.java
@@ -21,6 +21,9 @@
 abstract class EventLoopFixture extends NodeFixture {
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
 
+  /** Longer than the 10 ms for which a connection is not used again after a response. */
+  private static final long QUIET_PERIOD_OVER_MILLIS = 30;
+
   /** Work on the event loop that may block it. */
   interface Action {
     void run() throws Exception;
@@ -55,6 +58,12 @@
     }
   }
 
+  /** Waits until one connection to an endpoint is idle and its quiet period is over. */
+  static void awaitReusableConnection(EdgeNode node) throws Exception {
+    awaitOnEventLoop(node, () -> node.pool().idle() == 1);
+    node.loop().schedule(() -> {}, QUIET_PERIOD_OVER_MILLIS, TimeUnit.MILLISECONDS).get();
+  }
+
   /** Writes a request that may be repeated without an idempotency key. */
   static void writeIdempotentRequest(Socket client, String requestId) throws IOException {
     writeRequest(client, "GET /api", requestHeaders(requestId, "lookup", "20000"), "");
