--- /dev/null
+++ b/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
@@ -0,0 +1,215 @@
+package merlinrouter.gateway;
+
+import static merlinrouter.settings.TestSettings.IDEMPOTENT;
+import static merlinrouter.settings.TestSettings.UNLIMITED;
+import static merlinrouter.time.Nanos.PER_MILLI;
+import static merlinrouter.time.Nanos.PER_SECOND;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Deque;
+import java.util.List;
+import java.util.SplittableRandom;
+import merlinrouter.model.AttemptResult;
+import merlinrouter.model.EndpointState;
+import merlinrouter.model.EndpointUpdateType;
+import merlinrouter.model.Outcome;
+import merlinrouter.settings.ServiceRules;
+import merlinrouter.settings.TestSettings;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Slow start holds for the fleet: an endpoint that is warming up bears the sum of what all gateways
+ * send, and each gateway knows its own part only. All randomness comes from seeds.
+ */
+class FleetSlowStartTest {
+  private static final ServiceRules RULES = TestSettings.gateway(UNLIMITED, 1).rules();
+  private static final long SERVICE_TIME_NANOS = 100 * PER_MILLI;
+  private static final long STEP_NANOS = 10 * PER_MILLI;
+
+  /** Requests of the mean service time that a warm endpoint serves at once. */
+  private static final int WARM_ENDPOINT_CAPACITY = 2;
+
+  /** The endpoint whose requests are counted. */
+  private static final String OBSERVED_ENDPOINT = "cold0";
+
+  /** An attempt and when its endpoint answers. */
+  private record AttemptInFlight(SimulatedHost.Attempt attempt, long endsAtNanos) {}
+
+  /** Gateways on one clock, whose endpoints answer each request after the same service time. */
+  private static final class Fleet {
+    private final List<SimulatedHost> hosts = new ArrayList<>();
+    private final List<Deque<AttemptInFlight>> inFlightByHost = new ArrayList<>();
+    private final int[] attemptsSeenByHost;
+    private final List<Long> observedStartsNanos = new ArrayList<>();
+    private final SplittableRandom random = new SplittableRandom(11);
+    private long servedRequests;
+    private long sentRequests;
+
+    Fleet(int gatewayCount) {
+      attemptsSeenByHost = new int[gatewayCount];
+      for (int i = 0; i < gatewayCount; i++) {
+        hosts.add(new SimulatedHost(UNLIMITED, gatewayCount, i, false, 100 + i, false));
+        inFlightByHost.add(new ArrayDeque<>());
+      }
+    }
+
+    long nowNanos() {
+      return hosts.get(0).nowNanos;
+    }
+
+    void addEndpoints(String prefix, int count, long startedAtNanos) {
+      for (SimulatedHost host : hosts) {
+        for (int i = 0; i < count; i++) {
+          host.updateEndpoint(prefix + i, 0, EndpointState.READY, startedAtNanos);
+        }
+      }
+    }
+
+    void removeAllEndpoints() {
+      for (SimulatedHost host : hosts) {
+        host.gateway.endpointsUpdated(host.nowNanos, EndpointUpdateType.FULL, List.of());
+      }
+    }
+
+    /** Sends requests at random to the gateways, at a rate over all of them, for some time. */
+    void sendRequests(double requestsPerSecond, long durationNanos) {
+      for (long untilNanos = nowNanos() + durationNanos; nowNanos() < untilNanos; ) {
+        double expected = requestsPerSecond * STEP_NANOS / PER_SECOND;
+        for (; expected > 0 && random.nextDouble() < expected; expected--) {
+          hosts.get(random.nextInt(hosts.size())).request(IDEMPOTENT, 1);
+          sentRequests++;
+        }
+        step();
+      }
+    }
+
+    /** Sends one request to each gateway at the same moment. */
+    void sendBurst() {
+      for (SimulatedHost host : hosts) {
+        host.request(IDEMPOTENT, 1);
+        sentRequests++;
+      }
+      step();
+    }
+
+    private void step() {
+      for (int i = 0; i < hosts.size(); i++) {
+        SimulatedHost host = hosts.get(i);
+        host.advance(STEP_NANOS);
+        endDueAttempts(host, inFlightByHost.get(i));
+        for (; attemptsSeenByHost[i] < host.attempts.size(); attemptsSeenByHost[i]++) {
+          SimulatedHost.Attempt attempt = host.attempts.get(attemptsSeenByHost[i]);
+          inFlightByHost
+              .get(i)
+              .add(new AttemptInFlight(attempt, host.nowNanos + SERVICE_TIME_NANOS));
+          if (attempt.endpointId().equals(OBSERVED_ENDPOINT)) {
+            observedStartsNanos.add(host.nowNanos);
+          }
+        }
+      }
+    }
+
+    private void endDueAttempts(SimulatedHost host, Deque<AttemptInFlight> inFlight) {
+      while (!inFlight.isEmpty() && inFlight.peek().endsAtNanos() <= host.nowNanos) {
+        SimulatedHost.Attempt attempt = inFlight.poll().attempt();
+        servedRequests++;
+        host.gateway.attemptEnded(
+            host.nowNanos,
+            new AttemptResult(
+                attempt.requestId(),
+                Outcome.OK,
+                SERVICE_TIME_NANOS,
+                attempt.endpointId(),
+                true,
+                0,
+                0,
+                List.of()));
+      }
+    }
+
+    /** Checks that no overload window holds more than the endpoint bears, but for chance. */
+    void assertNotOverloaded(long startedAtNanos) {
+      Collections.sort(observedStartsNanos);
+      assertFalse(observedStartsNanos.isEmpty(), "without requests it would stay cold");
+      int first = 0;
+      for (int last = 0; last < observedStartsNanos.size(); last++) {
+        while (observedStartsNanos.get(last) - observedStartsNanos.get(first)
+            >= RULES.overloadWindowNanos()) {
+          first++;
+        }
+        long ageNanos = observedStartsNanos.get(first) - startedAtNanos;
+        double budget = maxRequestsInWindow(ageNanos);
+        int requests = last - first + 1;
+        assertTrue(
+            requests <= budget + 2 * Math.sqrt(budget) + 2,
+            requests + " requests of " + budget + ", " + ageNanos / PER_MILLI + " ms after start");
+      }
+    }
+
+    /** What an endpoint bears in the overload window that begins at an age. */
+    private static double maxRequestsInWindow(long ageNanos) {
+      double relativeAge = Math.max(0, ageNanos) / (double) RULES.slowStartDurationNanos();
+      double initial = RULES.slowStartInitialFraction();
+      double capacity =
+          WARM_ENDPOINT_CAPACITY * (initial + (1 - initial) * Math.min(1, relativeAge));
+      return RULES.overloadFactor() * capacity * RULES.overloadWindowNanos() / SERVICE_TIME_NANOS;
+    }
+  }
+
+  @Test
+  void oneColdEndpointAmongWarmOnesIsNotOverloadedByABusyFleet() {
+    Fleet fleet = new Fleet(120);
+    fleet.addEndpoints("warm", 9, 0);
+    fleet.sendRequests(150, 5 * PER_SECOND);
+    long startNanos = fleet.nowNanos();
+    fleet.addEndpoints("cold", 1, startNanos);
+    fleet.sendRequests(150, 10 * PER_SECOND);
+    fleet.assertNotOverloaded(startNanos);
+  }
+
+  /** If gateways saved up what they do not send, all of it could come at the same moment. */
+  @Test
+  void aBurstAfterAQuietTimeDoesNotOverloadAColdEndpoint() {
+    Fleet fleet = new Fleet(120);
+    fleet.addEndpoints("warm", 3, 0);
+    fleet.sendRequests(50, 5 * PER_SECOND);
+    long startNanos = fleet.nowNanos();
+    fleet.addEndpoints("cold", 1, startNanos);
+    for (int i = 0; i < 4; i++) {
+      fleet.sendRequests(60, 500 * PER_MILLI);
+      fleet.sendRequests(2, 1500 * PER_MILLI);
+      fleet.sendBurst();
+    }
+    fleet.assertNotOverloaded(startNanos);
+  }
+
+  /** No endpoint is warm, so there is none whose load could set the part of the cold ones. */
+  @Test
+  void endpointsThatRestartAllTogetherAreNotOverloaded() {
+    Fleet fleet = new Fleet(120);
+    fleet.addEndpoints("warm", 4, 0);
+    fleet.sendRequests(70, 5 * PER_SECOND);
+    long startNanos = fleet.nowNanos();
+    fleet.removeAllEndpoints();
+    fleet.addEndpoints("cold", 4, startNanos);
+    fleet.sendRequests(120, 8 * PER_SECOND);
+    fleet.assertNotOverloaded(startNanos);
+  }
+
+  /** A gateway that has sent nothing yet still has to give a cold endpoint its first request. */
+  @Test
+  void gatewaysThatStartTogetherWithAllEndpointsServeRequests() {
+    Fleet fleet = new Fleet(30);
+    long startNanos = fleet.nowNanos();
+    fleet.addEndpoints("cold", 6, startNanos);
+    fleet.sendRequests(20, 8 * PER_SECOND);
+    fleet.assertNotOverloaded(startNanos);
+    assertTrue(
+        fleet.servedRequests > fleet.sentRequests / 8,
+        "served " + fleet.servedRequests + " of " + fleet.sentRequests);
+  }
+}
