--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -111,9 +111,9 @@
   }
 
   private void switchAddresses(NodeConfig changed) {
-    discovery.move(changed.discovery());
+    discovery.switchTo(changed.discovery());
     if (changed.counter() != null) {
-      host.counterClient().move(changed.counter());
+      host.counterClient().switchTo(changed.counter());
     }
   }
 
@@ -166,7 +166,7 @@
   }
 
   @Override
-  public long deadline(long arrivedAtNanos, long timeoutNanos) {
+  public long deadlineNanos(long arrivedAtNanos, long timeoutNanos) {
     return deadlineMargin.deadlineNanos(arrivedAtNanos, timeoutNanos);
   }
 
@@ -196,22 +196,22 @@
   }
 
   /** How many client connections are open. */
-  int connections() throws Exception {
+  int clientConnectionCount() throws Exception {
     return clients.connectionCount();
   }
 
   /** How many bytes clients' requests hold. */
-  long held() {
+  long usedRequestBytes() {
     return budget.usedBytes();
   }
 
   /** How many client connections are not read from at present; asked on the event loop. */
-  int unread() {
+  int readingPausedCount() {
     return clients.readingPausedCount();
   }
 
   /** Whether the listening socket is bound; asked on the event loop. */
-  boolean listens() {
+  boolean isListening() {
     return clients.isListening();
   }
 
@@ -220,7 +220,7 @@
   }
 
   /** The time, by the gateway's clock. */
-  long now() {
+  long nowNanos() {
     return clock.nowNanos();
   }
 }
--- a/src/main/java/merlinrouter/node/counter/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -68,7 +68,7 @@
    * Sends later calls to another address; calls that were written to the earlier one may still be
    * answered there.
    */
-  public void move(SocketAddress newAddress) {
+  public void switchTo(SocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
       for (CounterShard shard : shards) {
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -61,7 +61,7 @@
   private long revision;
   private long backoffMillis = INITIAL_BACKOFF_MILLIS;
   private boolean ready;
-  private int openedWatches;
+  private int totalWatches;
 
   /**
    * Creates a client that does not connect yet.
@@ -119,17 +119,17 @@
   }
 
   /** How many watches were opened so far. */
-  public int openedWatches() {
-    return openedWatches;
+  public int totalWatchCount() {
+    return totalWatches;
   }
 
   /** How many watches are open or being opened. */
-  public int openWatches() {
+  public int openWatchCount() {
     return unanswered.size() + (current == null ? 0 : 1);
   }
 
   /** Watches at another address, from the revision received last on. */
-  public void move(SocketAddress newAddress) {
+  public void switchTo(SocketAddress newAddress) {
     if (newAddress.equals(address)) {
       return;
     }
@@ -158,7 +158,7 @@
     }
     Channel channel = connecting.channel();
     unanswered.add(channel);
-    openedWatches++;
+    totalWatches++;
     channel.closeFuture().addListener(closed -> watchEnded(channel));
     scheduleWatch(timeouts.responseTimeoutMillis());
   }
--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -18,6 +18,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.node.http.BodyAccumulator;
+import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.logging.ErrorLog;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.request.OpenRequest;
@@ -30,7 +31,7 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
     implements TrackedConnection {
   /** How many bytes of pipelined requests may wait before the connection is not read any more. */
-  private static final int MAX_PIPELINED_BYTES = 4 * ClientProtocol.MAX_BODY_BYTES;
+  private static final int MAX_PIPELINED_BYTES = 4 * ServiceProtocol.MAX_BODY_BYTES;
 
   /**
    * How long receiving a whole request may take: from the connect or, on a connection that has
@@ -50,7 +51,7 @@
   private final ResponseWriter responses;
   private final RequestDecoder decoder =
       new RequestDecoder(this::bytesDecoded, this::earliestArrivalNanos);
-  private final BodyAccumulator body = new BodyAccumulator(ClientProtocol.MAX_BODY_BYTES);
+  private final BodyAccumulator body = new BodyAccumulator(ServiceProtocol.MAX_BODY_BYTES);
   private HttpRequest head;
   private OpenRequest openRequest;
 
@@ -219,7 +220,7 @@
   /** Rejects a body by the length that its head announces, before any of it is read. */
   private void checkBodyLength(HttpRequest requestHead) {
     long length = HttpUtil.getContentLength(requestHead, 0L);
-    if (length > ClientProtocol.MAX_BODY_BYTES) {
+    if (length > ServiceProtocol.MAX_BODY_BYTES) {
       refuseAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     } else if (!budget.allows(length)) {
       refuseAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -58,7 +58,10 @@
     listenAddress = config.listen();
     parser =
         new RequestParser(
-            config.names().classes(), config.names().plans(), config.settings(), handler::deadline);
+            config.names().classes(),
+            config.names().plans(),
+            config.settings(),
+            handler::deadlineNanos);
     registry = new ConnectionRegistry(config.maxSockets());
     loop.scheduleAtFixedRate(
         registry::enforceTimeouts,
--- a/src/main/java/merlinrouter/node/downstream/ClientProtocol.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientProtocol.java
@@ -8,9 +8,6 @@
   /** Path of the node's own health check. */
   public static final String HEALTH_PATH = "/_health";
 
-  /** Identifies the request. */
-  public static final String REQUEST_ID = "X-Trace-Id";
-
   /** Name of the request class. */
   public static final String REQUEST_CLASS = "X-Qos";
 
@@ -29,12 +26,6 @@
   /** Number of the first of these gateways. */
   public static final String QUOTA_FIRST_GATEWAY = "first";
 
-  /** How long the client waits for the response, in milliseconds. */
-  public static final String TIMEOUT_MS = "X-Expires-In-Ms";
-
-  /** Key by which endpoints drop duplicates of a request. */
-  public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-
   /** {@link #RETRY_TRUE} if the client marks the request as a retry of an earlier one. */
   public static final String RETRY = "X-Second-Try";
 
@@ -56,8 +47,5 @@
   /** Maximum length of a request id, a key or a name. */
   public static final int MAX_TOKEN_LENGTH = 128;
 
-  /** Maximum size of a request body in bytes. */
-  public static final int MAX_BODY_BYTES = 64 * 1024;
-
   private ClientProtocol() {}
 }
--- a/src/main/java/merlinrouter/node/downstream/RequestHandler.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestHandler.java
@@ -33,12 +33,12 @@
 
   /**
    * The deadline that the gateway is given for a request, earlier than the client's own by a margin
-   * for the response's way back.
+   * for writing the response.
    *
    * @param arrivedAtNanos when the request arrived, by the gateway's clock
    * @param timeoutNanos how long its client waits from then
    */
-  long deadline(long arrivedAtNanos, long timeoutNanos);
+  long deadlineNanos(long arrivedAtNanos, long timeoutNanos);
 
   /** The last check before a client's connection is closed. */
   InvariantGuard guard();
--- a/src/main/java/merlinrouter/node/downstream/RequestParser.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestParser.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import merlinrouter.model.ClientRequest;
 import merlinrouter.model.Idempotency;
+import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.settings.RequestClass;
 import merlinrouter.time.Nanos;
@@ -30,7 +31,7 @@
    *
    * @param requestClassNames the names of the settings' request classes, by index
    * @param quotaPlanNames the names of the settings' quota plans, by index
-   * @param deadline computes a request's deadline as {@link RequestHandler#deadline} does
+   * @param deadline computes a request's deadline as {@link RequestHandler#deadlineNanos} does
    */
   RequestParser(
       List<String> requestClassNames,
@@ -55,7 +56,7 @@
       throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
     }
     HttpHeaders headers = head.headers();
-    String id = HeaderValues.requiredToken(headers, ClientProtocol.REQUEST_ID);
+    String id = HeaderValues.requiredToken(headers, ServiceProtocol.REQUEST_ID);
     int classIndex = indexOf(requestClassNames, headers, ClientProtocol.REQUEST_CLASS);
     int planIndex = indexOf(quotaPlanNames, headers, ClientProtocol.QUOTA_PLAN);
     RequestClass requestClass = settings.requestClasses().get(classIndex);
@@ -100,9 +101,9 @@
   /** The key, which a class may require; null if there is none. */
   private static String idempotencyKey(HttpHeaders headers, RequestClass requestClass)
       throws InvalidRequestException {
-    String key = HeaderValues.optional(headers, ClientProtocol.IDEMPOTENCY_KEY);
+    String key = HeaderValues.optional(headers, ServiceProtocol.IDEMPOTENCY_KEY);
     if (key != null || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-      HeaderValues.requiredToken(headers, ClientProtocol.IDEMPOTENCY_KEY);
+      HeaderValues.requiredToken(headers, ServiceProtocol.IDEMPOTENCY_KEY);
     }
     return key;
   }
@@ -112,8 +113,8 @@
       throws InvalidRequestException {
     long timeoutMs =
         HeaderValues.wholeNumber(
-            HeaderValues.required(headers, ClientProtocol.TIMEOUT_MS),
-            ClientProtocol.TIMEOUT_MS,
+            HeaderValues.required(headers, ServiceProtocol.TIMEOUT_MILLIS),
+            ServiceProtocol.TIMEOUT_MILLIS,
             1,
             MAX_TIMEOUT_FACTOR * requestClass.deadlineNanos() / Nanos.PER_MILLI);
     return timeoutMs * Nanos.PER_MILLI;
--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -9,6 +9,7 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import merlinrouter.model.Outcome;
+import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.request.OpenRequest;
 
 /**
@@ -129,10 +130,10 @@
     message
         .headers()
         .set(HttpHeaderNames.HOST, EndpointProtocol.SERVICE_HOST)
-        .set(EndpointProtocol.REQUEST_ID, requestId())
-        .set(EndpointProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
+        .set(ServiceProtocol.REQUEST_ID, requestId())
+        .set(ServiceProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
     if (request.idempotencyKey() != null) {
-      message.headers().set(EndpointProtocol.IDEMPOTENCY_KEY, request.idempotencyKey());
+      message.headers().set(ServiceProtocol.IDEMPOTENCY_KEY, request.idempotencyKey());
     }
     if (request.body().isReadable()) {
       message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().readableBytes());
--- a/src/main/java/merlinrouter/node/upstream/EndpointPool.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointPool.java
@@ -5,8 +5,8 @@
 import merlinrouter.model.Endpoint;
 
 /**
- * The idle connections to one run of an endpoint at one address; a restart or another address makes
- * a new pool. Used on the event loop only.
+ * The idle connections to one incarnation of an endpoint at one address; a restart or another
+ * address makes a new pool. Used on the event loop only.
  */
 final class EndpointPool {
   private final Endpoint endpoint;
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -12,6 +12,7 @@
 import merlinrouter.model.Outcome;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.node.transport.EventLoops;
 
@@ -48,7 +49,7 @@
   private Future<?> completionTimeout;
 
   UpstreamConnection(ResponseDecoder decoder, EventLoop loop, NodeLog log, double maxChargedUnits) {
-    super(EndpointProtocol.MAX_BODY_BYTES);
+    super(ServiceProtocol.MAX_BODY_BYTES);
     this.decoder = decoder;
     this.loop = loop;
     this.log = log;
--- a/src/main/java/merlinrouter/node/warmup/StubClients.java
+++ b/src/main/java/merlinrouter/node/warmup/StubClients.java
@@ -13,8 +13,8 @@
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.http.ResponseDecoder;
 import merlinrouter.node.http.ResponseHandler;
+import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.transport.Transport;
-import merlinrouter.node.upstream.EndpointProtocol;
 
 /**
  * Clients that send their next request as soon as they have a response. Used on their event loop
@@ -70,7 +70,7 @@
 
   private final class Client extends ResponseHandler {
     Client() {
-      super(EndpointProtocol.MAX_BODY_BYTES);
+      super(ServiceProtocol.MAX_BODY_BYTES);
     }
 
     @Override
--- a/src/main/java/merlinrouter/node/warmup/StubRequests.java
+++ b/src/main/java/merlinrouter/node/warmup/StubRequests.java
@@ -9,6 +9,7 @@
 import merlinrouter.node.config.NodeConfig;
 import merlinrouter.node.config.SettingNames;
 import merlinrouter.node.downstream.ClientProtocol;
+import merlinrouter.node.http.ServiceProtocol;
 import merlinrouter.node.upstream.EndpointProtocol;
 import merlinrouter.settings.RequestClass;
 
@@ -45,7 +46,7 @@
             .append(LINE_END);
     appendHeaders(head, number, requestClass);
     if (!idempotent) {
-      append(head, ClientProtocol.IDEMPOTENCY_KEY, "k" + number);
+      append(head, ServiceProtocol.IDEMPOTENCY_KEY, "k" + number);
       append(head, "Content-Length", Integer.toString(BODY.length));
     }
     ByteBuf request = allocator.buffer();
@@ -58,12 +59,12 @@
     String quotaPlan = names.plans().get(number / 2 % names.plans().size());
     long timeoutMillis = TimeUnit.NANOSECONDS.toMillis(requestClass.deadlineNanos());
     append(head, "Host", EndpointProtocol.SERVICE_HOST);
-    append(head, ClientProtocol.REQUEST_ID, "r" + number);
+    append(head, ServiceProtocol.REQUEST_ID, "r" + number);
     append(
         head, ClientProtocol.REQUEST_CLASS, names.classes().get(number % names.classes().size()));
     append(head, ClientProtocol.QUOTA_PLAN, quotaPlan);
     append(head, ClientProtocol.COOKIE, ClientProtocol.CUSTOMER_COOKIE + "=" + customer(number));
-    append(head, ClientProtocol.TIMEOUT_MS, Long.toString(timeoutMillis));
+    append(head, ServiceProtocol.TIMEOUT_MILLIS, Long.toString(timeoutMillis));
     append(head, ClientProtocol.QUOTA, quota());
   }
 
--- a/src/main/java/merlinrouter/simulator/WireReader.java
+++ b/src/main/java/merlinrouter/simulator/WireReader.java
@@ -31,7 +31,7 @@
   void run() throws IOException, MalformedInputException {
     while (readLine()) {
       if (!line.word().equals(WireVocabulary.BATCH_BEGIN)) {
-        throw line.malformed("a batch begins with 'mark'");
+        throw line.malformed("a batch begins with '" + WireVocabulary.BATCH_BEGIN + "'");
       }
       nowNanos = EventParser.batchTimeNanos(line);
       handleEvents();
@@ -106,7 +106,7 @@
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < head.endpointCount(); i++) {
       if (!readLine() || !line.word().equals(WireVocabulary.ENDPOINT)) {
-        throw line.malformed("'entry' expected");
+        throw line.malformed("'" + WireVocabulary.ENDPOINT + "' expected");
       }
       endpoints.add(EventParser.endpoint(line));
     }
--- a/src/test/java/merlinrouter/node/ClientRaceTest.java
+++ b/src/test/java/merlinrouter/node/ClientRaceTest.java
@@ -105,7 +105,7 @@
       writeRequest(client, "POST /api", countedRequestHeaders("a-" + i), "x".repeat(40_000));
       if (i == 1) {
         // The rest then comes with a further read.
-        awaitOnEventLoop(node, () -> node.held() > 80_000);
+        awaitOnEventLoop(node, () -> node.usedRequestBytes() > 80_000);
       }
     }
     client.close();
@@ -133,9 +133,9 @@
                 "x".repeat(64 * 1024));
           }
         });
-    awaitOnEventLoop(node, () -> node.unread() == 1);
+    awaitOnEventLoop(node, () -> node.readingPausedCount() == 1);
     for (int i = 0; i < 3_000; i++) {
-      long heldBytes = callOnEventLoop(node, node::held);
+      long heldBytes = callOnEventLoop(node, node::usedRequestBytes);
       assertTrue(heldBytes < MAX_HELD_BYTES, "held bytes: " + heldBytes);
     }
   }
@@ -146,7 +146,7 @@
     ScriptedServer server = startOkServer("x");
     EdgeNode node = startNode(server);
     Socket client = connect(node);
-    while (node.connections() < 1) {
+    while (node.clientConnectionCount() < 1) {
       Thread.onSpinWait();
     }
     runOnEventLoop(
@@ -197,7 +197,7 @@
       writeRequest(
           client, "POST /api", requestHeaders("a-" + i, "order", "20000"), "x".repeat(60_000));
     }
-    awaitOnEventLoop(node, () -> node.unread() == 1);
+    awaitOnEventLoop(node, () -> node.readingPausedCount() == 1);
     client.close();
     runOnEventLoop(
         node,
@@ -221,7 +221,7 @@
     writeRequest(client, "POST /api", countedRequestHeaders("t-1"), "book");
     counter.awaitRequest();
     writeRequest(client, "POST /api", countedRequestHeaders("a-1"), "x".repeat(600_000));
-    awaitOnEventLoop(node, () -> node.unread() == 1);
+    awaitOnEventLoop(node, () -> node.readingPausedCount() == 1);
     runOnEventLoop(node, () -> Thread.sleep(250));
     proceed.complete(null);
     assertEquals("502", readStatus(client));
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -131,7 +131,7 @@
     add(4, 1);
     counter.awaitRequest();
     NodeConfig moved = configWithCounter(newCounter);
-    loop.submit(() -> client.move(moved.counter())).get();
+    loop.submit(() -> client.switchTo(moved.counter())).get();
     add(4, 1);
     add(8, 1);
     respond.complete(null);
--- a/src/test/java/merlinrouter/node/DeadlineRaceTest.java
+++ b/src/test/java/merlinrouter/node/DeadlineRaceTest.java
@@ -36,7 +36,7 @@
     writeKeyedRequest(client, "t-1");
     server.awaitRequest();
     writeRequest(client, "POST /api", requestHeaders("t-2", "order", "400"), "book");
-    awaitOnEventLoop(node, () -> node.held() > 100);
+    awaitOnEventLoop(node, () -> node.usedRequestBytes() > 100);
     runOnEventLoop(
         node,
         () -> {
@@ -85,7 +85,7 @@
   private static void assertDeadlineMillis(long expected, EdgeNode node, long timeoutMillis) {
     assertEquals(
         expected * NANOS_PER_MILLI,
-        node.deadline(0, timeoutMillis * NANOS_PER_MILLI),
+        node.deadlineNanos(0, timeoutMillis * NANOS_PER_MILLI),
         "with a timeout of " + timeoutMillis + " ms");
   }
 
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -42,13 +42,13 @@
             });
     EdgeNode node = startNode(configJson());
     awaitServed(node);
-    int openedBefore = node.loop().submit(() -> node.discovery().openedWatches()).get();
+    int openedBefore = node.loop().submit(() -> node.discovery().totalWatchCount()).get();
     assertTrue(
         node.loop()
             .schedule(
                 () ->
-                    node.discovery().openedWatches() > openedBefore
-                        || node.discovery().openWatches() == 0,
+                    node.discovery().totalWatchCount() > openedBefore
+                        || node.discovery().openWatchCount() == 0,
                 6,
                 TimeUnit.SECONDS)
             .get(),
@@ -83,7 +83,7 @@
     discovery.endedConnections.take();
     assertEquals(
         1,
-        node.loop().submit(() -> node.discovery().openWatches()).get(),
+        node.loop().submit(() -> node.discovery().openWatchCount()).get(),
         "only the watch with a response stays open");
   }
 
@@ -102,8 +102,8 @@
             new Runnable() {
               @Override
               public void run() {
-                openedBefore[0] = node.discovery().openedWatches();
-                if (node.discovery().openWatches() == 0) {
+                openedBefore[0] = node.discovery().totalWatchCount();
+                if (node.discovery().openWatchCount() == 0) {
                   noneOpen.complete(null);
                 } else {
                   node.loop().schedule(this, 1, TimeUnit.MILLISECONDS);
@@ -113,7 +113,8 @@
     noneOpen.get();
     assertTrue(
         node.loop()
-            .schedule(() -> node.discovery().openedWatches() > openedBefore[0], 1, TimeUnit.SECONDS)
+            .schedule(
+                () -> node.discovery().totalWatchCount() > openedBefore[0], 1, TimeUnit.SECONDS)
             .get(),
         "no watch was opened for a second");
   }
@@ -147,7 +148,9 @@
             configJson().replace("\"discovery\": \"automatic\"", "\"discovery\": \"subscribe\""));
     silent.get();
     assertTrue(
-        node.loop().schedule(() -> node.discovery().openedWatches() > 8, 6, TimeUnit.SECONDS).get(),
+        node.loop()
+            .schedule(() -> node.discovery().totalWatchCount() > 8, 6, TimeUnit.SECONDS)
+            .get(),
         "6 s after the silence began the list had not been polled twice");
     awaitServed(node);
   }
--- a/src/test/java/merlinrouter/node/EventLoopFixture.java
+++ b/src/test/java/merlinrouter/node/EventLoopFixture.java
@@ -53,7 +53,7 @@
 
   /** Waits until the node has seen all its clients disconnect. */
   static void awaitAllDisconnected(EdgeNode node) throws Exception {
-    while (node.connections() > 0) {
+    while (node.clientConnectionCount() > 0) {
       Thread.onSpinWait();
     }
   }
@@ -95,7 +95,7 @@
    */
   static CompletableFuture<String> submitRequest(EdgeNode node, String requestId) {
     CompletableFuture<String> response = new CompletableFuture<>();
-    long deadlineNanos = node.deadline(node.now(), REQUEST_TIMEOUT_NANOS);
+    long deadlineNanos = node.deadlineNanos(node.nowNanos(), REQUEST_TIMEOUT_NANOS);
     ClientRequest request = new ClientRequest(requestId, 1, 0, 7, deadlineNanos, 1, 1, 0, false);
     node.accept(
         new OpenRequest(
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -192,7 +192,8 @@
         assertEquals(-1, last.getInputStream().read());
       }
     }
-    assertTrue(node.connections() <= 17, "connections kept: " + node.connections());
+    assertTrue(
+        node.clientConnectionCount() <= 17, "connections kept: " + node.clientConnectionCount());
     assertEquals("200", requestStatus(connect(node), "k-30"));
   }
 
--- a/src/test/java/merlinrouter/node/ShutdownRaceTest.java
+++ b/src/test/java/merlinrouter/node/ShutdownRaceTest.java
@@ -42,7 +42,7 @@
     starting.setDaemon(true);
     starting.start();
     discovery.awaitRequest();
-    assertFalse(callOnEventLoop(node, node::listens));
+    assertFalse(callOnEventLoop(node, node::isListening));
   }
 
   /** The new addresses come between the read of the configuration and the start. */
@@ -55,7 +55,7 @@
         NodeConfigReader.parse(config.replace(discovery.address(), newDiscovery.address())));
     node.start();
     assertTrue(newDiscovery.awaitRequest().startLine().contains("after=5"));
-    awaitOnEventLoop(node, () -> node.discovery().openWatches() == 1);
+    awaitOnEventLoop(node, () -> node.discovery().openWatchCount() == 1);
   }
 
   /** What a client does within the grace period counts, however late the event loop sees it. */
