--- /dev/null
+++ b/src/test/java/merlinrouter/quota/CounterCallRateLimiterTest.java
@@ -0,0 +1,85 @@
+package merlinrouter.quota;
+
+import static merlinrouter.time.Nanos.PER_MILLI;
+import static merlinrouter.time.Nanos.PER_SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.SplittableRandom;
+import merlinrouter.model.Outcome;
+import merlinrouter.time.EventClock;
+import org.junit.jupiter.api.Test;
+
+/** Which calls to the counter may be made. */
+class CounterCallRateLimiterTest {
+  private static final double HIGH_STAKE = 10;
+
+  private final EventClock clock = new EventClock(0);
+  private final CounterHealth health = new CounterHealth(clock);
+
+  /** One of a hundred gateways starts with 2 calls a second and saves up 4. */
+  private final CounterCallRateLimiter limiter =
+      new CounterCallRateLimiter(100, health, clock, new SplittableRandom(1));
+
+  private int callsIn(int seconds) {
+    int calls = 0;
+    long untilNanos = clock.nowNanos() + seconds * PER_SECOND;
+    while (clock.nowNanos() < untilNanos) {
+      clock.advanceTo(clock.nowNanos() + 10 * PER_MILLI);
+      calls += limiter.tryAcquire(HIGH_STAKE) ? 1 : 0;
+    }
+    return calls;
+  }
+
+  @Test
+  void theFewerCallsAreLeftTheHigherTheStakeHasToBe() {
+    clock.advanceTo(10 * PER_SECOND);
+    assertTrue(limiter.tryAcquire(0), "of 4 saved calls any may take one");
+    assertFalse(limiter.tryAcquire(0.4));
+    assertTrue(limiter.tryAcquire(0.5));
+    assertTrue(limiter.tryAcquire(1));
+    assertFalse(limiter.tryAcquire(1.4));
+    assertTrue(limiter.tryAcquire(1.5));
+    assertFalse(limiter.tryAcquire(HIGH_STAKE), "none is left");
+  }
+
+  @Test
+  void aStakeIsRelativeToTheMean() {
+    for (int i = 0; i < 1000; i++) {
+      limiter.relativeStake(3);
+    }
+    assertEquals(1, limiter.relativeStake(3), 1e-6);
+    assertEquals(2, limiter.relativeStake(6), 0.1);
+  }
+
+  @Test
+  void slowCallsLowerTheRateAndFastOnesRaiseItAgain() {
+    int before = callsIn(20);
+    endCalls(Outcome.TIMEOUT, 50 * PER_MILLI);
+    int slow = callsIn(20);
+    endCalls(Outcome.OK, 5 * PER_MILLI);
+    int fast = callsIn(20);
+    assertTrue(slow < before, slow + " after " + before);
+    assertTrue(fast > slow, fast + " after " + slow);
+  }
+
+  private void endCalls(Outcome outcome, long durationNanos) {
+    for (int i = 0; i < 20; i++) {
+      clock.advanceTo(clock.nowNanos() + PER_SECOND / 4);
+      limiter.tryAcquire(HIGH_STAKE);
+      limiter.tryAcquire(HIGH_STAKE);
+      limiter.callEnded(outcome, durationNanos, 50 * PER_MILLI);
+    }
+  }
+
+  @Test
+  void aSilentCounterGetsOneCallASecond() {
+    clock.advanceTo(PER_SECOND);
+    for (int i = 0; i < 3; i++) {
+      health.recordCall(false);
+    }
+    callsIn(10);
+    assertEquals(20, callsIn(20), 1);
+  }
+}
--- /dev/null
+++ b/src/test/java/merlinrouter/quota/FleetQuotaEstimateTest.java
@@ -0,0 +1,104 @@
+package merlinrouter.quota;
+
+import static merlinrouter.time.Nanos.PER_SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import merlinrouter.settings.TestSettings;
+import merlinrouter.time.EventClock;
+import org.junit.jupiter.api.Test;
+
+/** What totals of the counter say of a customer's quota. */
+class FleetQuotaEstimateTest {
+  private static final double TOLERANCE = 1e-9;
+  private static final double ALL_REPORTED = 1;
+
+  private final EventClock clock = new EventClock(6 * PER_SECOND);
+
+  /** A quota of 30 units that refills in 3 s, the length of a window. */
+  private final FleetQuotaEstimate estimate =
+      new FleetQuotaEstimate(TestSettings.quota(10, 30), 3, 4, 0, clock);
+
+  private void useAndReport(double units) {
+    estimate.take(units);
+    estimate.recordOwnReported(units);
+  }
+
+  @Test
+  void theQuotaRefillsUpToTheBurst() {
+    estimate.take(20);
+    estimate.refill(1);
+    assertEquals(20, estimate.availableUnits(), TOLERANCE);
+    estimate.refill(100);
+    assertEquals(30, estimate.availableUnits(), TOLERANCE);
+  }
+
+  @Test
+  void aTotalTakesTheUseOfTheOthersOnce() {
+    estimate.enterCurrentWindow();
+    useAndReport(2);
+    estimate.learnTotal(2, 12, 0, ALL_REPORTED);
+    assertEquals(18, estimate.availableUnits(), TOLERANCE);
+    useAndReport(2);
+    estimate.learnTotal(2, 14, 0, ALL_REPORTED);
+    assertEquals(16, estimate.availableUnits(), TOLERANCE);
+  }
+
+  @Test
+  void theOthersAreTakenToReportThePartThatThisGatewayReports() {
+    estimate.enterCurrentWindow();
+    estimate.learnTotal(0, 6, 0, 0.5);
+    assertEquals(30 - 6 / 0.5, estimate.availableUnits(), TOLERANCE);
+  }
+
+  @Test
+  void aCounterThatLostItsCountsGivesNothingBack() {
+    estimate.enterCurrentWindow();
+    useAndReport(2);
+    estimate.learnTotal(2, 12, 0, ALL_REPORTED);
+    useAndReport(3);
+    estimate.learnTotal(3, 3, 0, ALL_REPORTED);
+    assertEquals(15, estimate.availableUnits(), TOLERANCE);
+  }
+
+  @Test
+  void betweenTotalsTheOthersAreProjectedToGoOn() {
+    estimate.enterCurrentWindow();
+    estimate.learnTotal(0, 0, 0, ALL_REPORTED);
+    clock.advanceTo(7 * PER_SECOND);
+    estimate.learnTotal(0, 8, 0, ALL_REPORTED);
+    double projected = estimate.projectedOthersUnits(PER_SECOND);
+    assertTrue(projected > 0 && projected <= 8, "projected " + projected);
+    estimate.refill(1);
+    assertEquals(30 - 8 + 10 - projected, estimate.availableUnits(), TOLERANCE);
+  }
+
+  @Test
+  void aQuotaWithoutARecentTotalIsDivided() {
+    estimate.divideIfStale();
+    assertTrue(estimate.isStale());
+    assertEquals(10, estimate.availableUnits(), TOLERANCE);
+    estimate.divideIfStale();
+    assertEquals(10, estimate.availableUnits(), TOLERANCE);
+    estimate.learnTotal(0, 0, 0, ALL_REPORTED);
+    assertFalse(estimate.isStale());
+  }
+
+  @Test
+  void theDividedPartIsAtLeastTheLargestRequest() {
+    estimate.take(24);
+    estimate.divideIfStale();
+    assertEquals(4, estimate.availableUnits(), TOLERANCE);
+  }
+
+  @Test
+  void aTotalIsWantedAgainAfterAQuarterOfAWindow() {
+    assertTrue(estimate.needsTotal());
+    estimate.learnTotal(0, 0, 0, ALL_REPORTED);
+    clock.advanceTo(6 * PER_SECOND + estimate.windowNanos() / 4);
+    assertFalse(estimate.needsTotal());
+    clock.advanceTo(clock.nowNanos() + 1);
+    assertTrue(estimate.needsTotal());
+  }
+}
--- /dev/null
+++ b/src/test/java/merlinrouter/retry/RetryBudgetTest.java
@@ -0,0 +1,46 @@
+package merlinrouter.retry;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** How many retries a gateway may start. */
+class RetryBudgetTest {
+  private final RetryBudget budget = new RetryBudget();
+
+  private void startRetries(int count) {
+    for (int i = 0; i < count; i++) {
+      assertTrue(budget.permits(false), "retry " + i);
+      budget.retryStarted(false);
+    }
+  }
+
+  @Test
+  void fiveFirstAttemptsEarnOneRetry() {
+    startRetries(20);
+    for (int i = 0; i < 5; i++) {
+      assertFalse(budget.permits(false));
+      budget.firstAttemptStarted();
+    }
+    startRetries(1);
+    assertFalse(budget.permits(false));
+  }
+
+  @Test
+  void atMostTwentyRetriesAreSaved() {
+    for (int i = 0; i < 1000; i++) {
+      budget.firstAttemptStarted();
+    }
+    startRetries(20);
+    assertFalse(budget.permits(false));
+  }
+
+  @Test
+  void aRetryOfAnAttemptThatWasNotExecutedIsFree() {
+    startRetries(20);
+    assertTrue(budget.permits(true));
+    budget.retryStarted(true);
+    assertTrue(budget.permits(true));
+  }
+}
