--- a/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
@@ -53,7 +53,7 @@
     }
     for (EndpointTracker tracker : trackersById.values()) {
       if (!named.contains(tracker.endpoint().id())) {
-        tracker.remove();
+        tracker.markRemoved();
       }
     }
   }
@@ -62,14 +62,14 @@
     EndpointTracker known = trackersById.get(entry.id());
     if (entry.state() == EndpointState.REMOVED) {
       if (known != null) {
-        known.remove();
+        known.markRemoved();
       }
       return;
     }
     boolean restarted =
         known == null || known.endpoint().startedAtNanos() != entry.startedAtNanos();
     if (known != null && restarted) {
-      known.replace();
+      known.markReplaced();
     }
     EndpointTracker tracker =
         restarted ? new EndpointTracker(entry, groups, clock, startedAtNanos) : known;
--- a/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
@@ -32,9 +32,10 @@
   /** How long a removed endpoint is remembered. */
   private static final long RETENTION_NANOS = 30 * Nanos.PER_SECOND;
 
-  /** Bounds on an attempt's duration relative to the expected one; failures count as slow. */
+  /** Upper bound on an attempt's duration, relative to the expected one. */
   private static final double MAX_RELATIVE_LATENCY = 20;
 
+  /** A failure counts as an attempt that took at least this long, relative to the expected time. */
   private static final double MIN_RELATIVE_LATENCY_OF_FAILURE = 3;
 
   /** A rejection tells of load rather than of a fault. */
@@ -88,7 +89,7 @@
   }
 
   /** Notes that the list does not hold the endpoint any more. */
-  void remove() {
+  void markRemoved() {
     ready = false;
     if (!removed) {
       removed = true;
@@ -97,7 +98,7 @@
   }
 
   /** Notes that another incarnation of the endpoint has taken its place. */
-  void replace() {
+  void markReplaced() {
     ready = false;
   }
 
--- a/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
@@ -11,11 +11,7 @@
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.time.EventClock;
 
-/**
- * Chooses endpoints for attempts and learns from how these end. Used by one thread.
- *
- * <p>Where a method takes the time of a request, it is the expected service time in seconds.
- */
+/** Chooses endpoints for attempts and learns from how these end. Used by one thread. */
 public final class LoadBalancer {
   /** Scores are raised at random by up to this fraction, so that gateways do not choose alike. */
   private static final double SCORE_NOISE = 0.1;
@@ -130,7 +126,10 @@
     List<EndpointTracker> ready = registry.ready();
     boolean responsesAreRare =
         forwardedWork.workPerSecond() < request.expectedServiceSeconds() * ready.size();
-    if (!responsesAreRare || !settings.limits().healthChecks() || !loadReports.areEnabled()) {
+    if (ready.isEmpty()
+        || !responsesAreRare
+        || !settings.limits().healthChecks()
+        || !loadReports.areEnabled()) {
       return null;
     }
     return ready.get(random.nextInt(ready.size())).endpoint();
--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -41,7 +41,10 @@
   private static final double REJECTED_TIMEOUT_FRACTION = 1;
 
   /** Tokens that may be saved: the calls of this time. */
-  private static final long BURST_NANOS = QuotaAccount.REPORT_INTERVAL_NANOS;
+  private static final long BURST_NANOS = Nanos.PER_SECOND / 4;
+
+  /** A change of the rate stands for this time at most, however long ago the last one was. */
+  private static final long MAX_ADJUSTMENT_NANOS = Nanos.PER_SECOND / 4;
 
   private static final double MIN_CAPACITY_CALLS = 2 * MIN_INITIAL_CALLS_PER_SECOND;
 
@@ -112,8 +115,7 @@
 
   private void adjust(double timeoutFraction, boolean answered) {
     double seconds =
-        Nanos.toSeconds(
-            Math.min(QuotaAccount.REPORT_INTERVAL_NANOS, clock.nanosSince(adjustedAtNanos)));
+        Nanos.toSeconds(Math.min(MAX_ADJUSTMENT_NANOS, clock.nanosSince(adjustedAtNanos)));
     double deviation = Math.max(-MAX_SLOWDOWN, 1 - timeoutFraction / TARGET_TIMEOUT_FRACTION);
     double min =
         answered ? initialCallsPerSecond * MIN_ANSWERED_FRACTION : MIN_UNANSWERED_CALLS_PER_SECOND;
