--- a/src/test/java/merlinrouter/node/EventLoopFixture.java
+++ b/src/test/java/merlinrouter/node/EventLoopFixture.java
@@ -21,6 +21,9 @@
 abstract class EventLoopFixture extends NodeFixture {
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
 
+  /** Longer than the 10 ms for which a connection is not used again after a response. */
+  private static final long QUIET_PERIOD_OVER_MILLIS = 30;
+
   /** Work on the event loop that may block it. */
   interface Action {
     void run() throws Exception;
@@ -50,11 +53,17 @@
 
   /** Waits until the node has seen all its clients disconnect. */
   static void awaitAllDisconnected(EdgeNode node) throws Exception {
-    while (node.connections() > 0) {
+    while (node.clientConnectionCount() > 0) {
       Thread.onSpinWait();
     }
   }
 
+  /** Waits until one connection to an endpoint is idle and its quiet period is over. */
+  static void awaitReusableConnection(EdgeNode node) throws Exception {
+    awaitOnEventLoop(node, () -> node.pool().idle() == 1);
+    node.loop().schedule(() -> {}, QUIET_PERIOD_OVER_MILLIS, TimeUnit.MILLISECONDS).get();
+  }
+
   /** Writes a request that may be repeated without an idempotency key. */
   static void writeIdempotentRequest(Socket client, String requestId) throws IOException {
     writeRequest(client, "GET /api", requestHeaders(requestId, "lookup", "20000"), "");
@@ -86,7 +95,7 @@
    */
   static CompletableFuture<String> submitRequest(EdgeNode node, String requestId) {
     CompletableFuture<String> response = new CompletableFuture<>();
-    long deadlineNanos = node.deadline(node.now(), REQUEST_TIMEOUT_NANOS);
+    long deadlineNanos = node.deadlineNanos(node.nowNanos(), REQUEST_TIMEOUT_NANOS);
     ClientRequest request = new ClientRequest(requestId, 1, 0, 7, deadlineNanos, 1, 1, 0, false);
     node.accept(
         new OpenRequest(
