--- a/src/main/java/merlinrouter/control/ConcurrencyController.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyController.java
@@ -60,7 +60,7 @@
     return level;
   }
 
-  /** Notes that the level kept work back in this interval. */
+  /** Records that the level kept work back in this interval. */
   public void markSaturated() {
     saturated = true;
   }
--- a/src/main/java/merlinrouter/gateway/GatewayEvents.java
+++ b/src/main/java/merlinrouter/gateway/GatewayEvents.java
@@ -8,7 +8,7 @@
 import merlinrouter.model.Outcome;
 
 /**
- * What a host tells its gateway, in the order in which things happen. Each event carries the
+ * What a host reports to its gateway, in the order in which things happen. Each event carries the
  * monotonic time in nanoseconds. One thread at a time may call; an event must not be delivered from
  * within an action.
  */
--- a/src/main/java/merlinrouter/gateway/PendingRequest.java
+++ b/src/main/java/merlinrouter/gateway/PendingRequest.java
@@ -99,7 +99,7 @@
     state = next;
   }
 
-  /** Notes that an attempt starts. */
+  /** Records that an attempt starts. */
   void attemptStarted(EndpointTracker chosen, long nowNanos) {
     transitionTo(RequestState.IN_FLIGHT);
     attempts++;
@@ -107,7 +107,7 @@
     attemptStartedAtNanos = nowNanos;
   }
 
-  /** Notes that the attempt ended. */
+  /** Records that the attempt ended. */
   void attemptEnded(Outcome outcome) {
     if (!outcome.provesNotExecuted()) {
       history.recordPossibleExecution(attemptStartedAtNanos, endpoint.endpoint());
--- a/src/main/java/merlinrouter/gateway/RequestDispatcher.java
+++ b/src/main/java/merlinrouter/gateway/RequestDispatcher.java
@@ -70,7 +70,7 @@
     return requestsById.get(requestId);
   }
 
-  /** Takes in a request that arrived. */
+  /** Handles a request that arrived. */
   void add(PendingRequest pending) {
     requestsById.put(pending.id(), pending);
   }
@@ -159,7 +159,7 @@
     actions.startAttempt(pending.id(), endpoint.endpoint().id(), timeoutNanos);
   }
 
-  /** Learns from an attempt that ended, and retries the request or ends it. */
+  /** Updates the statistics by an attempt that ended, and retries the request or ends it. */
   void completeAttempt(PendingRequest pending, AttemptResult result) {
     concurrencyLimiter.release(result.durationNanos());
     loadBalancer.attemptEnded(pending.endpoint(), pending, result);
--- a/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
@@ -38,7 +38,7 @@
   /** A failure counts as an attempt that took at least this long, relative to the expected time. */
   private static final double MIN_RELATIVE_LATENCY_OF_FAILURE = 3;
 
-  /** A rejection tells of load rather than of a fault. */
+  /** A rejection shows load rather than a fault. */
   private static final double REJECTION_ERROR = 0.5;
 
   /** An endpoint with a higher error rate is an outlier. */
@@ -88,7 +88,7 @@
     removed = false;
   }
 
-  /** Notes that the list does not hold the endpoint any more. */
+  /** Records that the list does not hold the endpoint any more. */
   void markRemoved() {
     ready = false;
     if (!removed) {
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Notes that another incarnation of the endpoint has taken its place. */
+  /** Records that another incarnation of the endpoint has taken its place. */
   void markReplaced() {
     ready = false;
   }
@@ -131,7 +131,7 @@
   }
 
   /**
-   * Learns from an attempt that ended.
+   * Updates the statistics by an attempt that ended.
    *
    * @param expectedSeconds the expected duration of the attempt
    * @param endpointCount how many endpoints are ready
@@ -192,7 +192,7 @@
     return groupMean + (observed - groupMean) * weight;
   }
 
-  /** Notes the load of a load report. */
+  /** Records the load of a load report. */
   void loadReported(double load) {
     reportedLoad = load;
     loadReportedAtNanos = clock.nowNanos();
--- a/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
@@ -93,13 +93,16 @@
         || slowStart.trySelect(candidate, request.expectedServiceSeconds(), registry.ready());
   }
 
-  /** Notes that an attempt starts on an endpoint. */
+  /** Records that an attempt starts on an endpoint. */
   public void attemptStarted(EndpointTracker tracker, BalancedRequest request) {
     forwardedWork.record(request.expectedServiceSeconds());
     tracker.attemptStarted(request);
   }
 
-  /** Learns from an attempt that ended. One that was cancelled or never sent says nothing. */
+  /**
+   * Updates the statistics by an attempt that ended. One that was cancelled or never sent says
+   * nothing.
+   */
   public void attemptEnded(EndpointTracker tracker, BalancedRequest request, AttemptResult result) {
     tracker.attemptEnded(request);
     Outcome outcome = result.outcome();
@@ -135,7 +138,7 @@
     return ready.get(random.nextInt(ready.size())).endpoint();
   }
 
-  /** Takes in the end of a health check; the report is empty if there is none. */
+  /** Handles the end of a health check; the report is empty if there is none. */
   public void healthCheckEnded(String endpointId, List<Double> loadReport) {
     EndpointTracker tracker = registry.get(endpointId);
     if (tracker != null) {
--- a/src/main/java/merlinrouter/loadbalancing/LoadReports.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadReports.java
@@ -23,7 +23,7 @@
     return !valueNames.isEmpty();
   }
 
-  /** Takes in a report; an empty one stands for an endpoint that reports nothing or is silent. */
+  /** Handles a report; an empty one stands for an endpoint that reports nothing or is silent. */
   void record(EndpointTracker tracker, List<Double> report) {
     double load = report.isEmpty() ? assumedLoad() : 0;
     for (int i = 0; i < Math.min(report.size(), valueNames.size()); i++) {
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -77,7 +77,7 @@
    * Starts to serve; returns when the listening socket is bound.
    *
    * @throws ExecutionException if the node cannot start
-   * @throws InterruptedException if the thread is interrupted meanwhile
+   * @throws InterruptedException if the thread is interrupted
    */
   public void start() throws ExecutionException, InterruptedException {
     loop.submit(this::startOnLoop).get();
--- a/src/main/java/merlinrouter/node/EndpointListUpdater.java
+++ b/src/main/java/merlinrouter/node/EndpointListUpdater.java
@@ -14,8 +14,8 @@
 
 /**
  * Passes updates of the endpoint list on: converts the endpoints' start times to the gateway's
- * clock, has the connections follow the list, and tells the gateway the list as it then stands.
- * Used on the event loop only.
+ * clock, has the connections follow the list, and notifies the gateway of the list as it then
+ * stands. Used on the event loop only.
  */
 final class EndpointListUpdater implements EndpointListListener {
   private final GatewayHost host;
--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -26,8 +26,8 @@
 import merlinrouter.settings.RequestClass;
 
 /**
- * The host of the gateway's decisions: holds the open requests, tells the gateway what happens to
- * them, and carries its actions out. Used on the event loop only.
+ * The host of the gateway's decisions: holds the open requests, notifies the gateway of what
+ * happens to them, and carries its actions out. Used on the event loop only.
  */
 final class GatewayHost implements GatewayActions, AttemptListener {
   /**
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Notes that the client of an open request disconnected. */
+  /** Records that the client of an open request disconnected. */
   void clientDisconnected(OpenRequest request) {
     if (request.takeResponseSink() != null) {
       log.count(NodeLog.Event.CLIENT_DISCONNECTED);
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Notes a change of the endpoint list. */
+  /** Records a change of the endpoint list. */
   void endpointsUpdated(EndpointUpdateType type, List<Endpoint> endpoints) {
     events.deliver(now -> gateway.endpointsUpdated(now, type, endpoints));
   }
@@ -161,7 +161,10 @@
             gateway.counterCallEnded(now, result.counterKey(), result.outcome(), result.total()));
   }
 
-  /** Delivers an event; if the gateway fails on it, the request is failed and the gateway told. */
+  /**
+   * Delivers an event; if the gateway fails on it, the request is failed and the gateway is
+   * notified.
+   */
   private void deliverOrFail(OpenRequest request, LongConsumer event) {
     events.deliver(
         event,
--- a/src/main/java/merlinrouter/node/counter/CounterConnection.java
+++ b/src/main/java/merlinrouter/node/counter/CounterConnection.java
@@ -25,7 +25,7 @@
 final class CounterConnection extends ResponseHandler {
   private static final int MAX_RESPONSE_BYTES = 1024;
 
-  /** A connection with a call unanswered for so many call timeouts leads nowhere. */
+  /** After this many call timeouts without a response the connection is assumed dead. */
   private static final int MAX_SILENT_TIMEOUTS = 10;
 
   private final CounterShard shard;
--- a/src/main/java/merlinrouter/node/counter/CounterShard.java
+++ b/src/main/java/merlinrouter/node/counter/CounterShard.java
@@ -105,8 +105,8 @@
   /**
    * A connection has ended its calls; what waits goes to a new one, or ends as well.
    *
-   * @param wasConnected whether the connection was ever made; if not, an immediate further try
-   *     would only fail and be repeated
+   * @param wasConnected whether the connection was ever made; if not, an immediate retry would only
+   *     fail and be repeated
    */
   void connectionClosed(boolean wasConnected) {
     if (connection != null || waiting.isEmpty()) {
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -35,7 +35,7 @@
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** Unanswered watches are kept, since each may be answered yet, but no more than so many. */
+  /** Unanswered watches are kept, since each may be answered yet, but at most this many. */
   private static final int MAX_UNANSWERED_WATCHES = 4;
 
   private static final long INITIAL_BACKOFF_MILLIS = 100;
--- a/src/main/java/merlinrouter/node/discovery/WatchHandler.java
+++ b/src/main/java/merlinrouter/node/discovery/WatchHandler.java
@@ -17,7 +17,7 @@
 /** The HTTP side of a watch: one request, and a chunked response that stays open. */
 final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
   /**
-   * A list is written in one go: one that began and is not complete after so long was cut short.
+   * A list is written in one go: one that began and is not complete after this long was cut short.
    * Half of the second that draining allows.
    */
   private static final long LIST_COMPLETION_TIMEOUT_MILLIS = 500;
--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -58,7 +58,7 @@
   /** Whether a request has been received in part. */
   private boolean receiving;
 
-  /** Whether a whole request has ever been received. */
+  /** Whether a whole request has been received yet. */
   private boolean receivedRequest;
 
   private boolean keepAlive;
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -27,7 +27,7 @@
 
   private static final long TIMEOUT_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /** Longer than accepting pauses behind a failure ({@link AcceptThrottle}). */
+  /** Longer than accepting pauses after a failure ({@link AcceptThrottle}). */
   private static final long ACCEPT_FAILURE_RECHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private static final long BIND_RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
--- a/src/main/java/merlinrouter/node/downstream/ClientPresence.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientPresence.java
@@ -6,8 +6,8 @@
 import merlinrouter.time.Nanos;
 
 /**
- * Knows when a connection's client was last seen connected: everything it had sent was read, and no
- * close followed.
+ * Tracks when a connection's client was last seen connected: everything it had sent was read, and
+ * no close followed.
  */
 final class ClientPresence {
   /**
--- a/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
@@ -10,7 +10,7 @@
 
 /**
  * Netty's request decoder, but it pauses behind each request until {@link #resume}. Decoded
- * pipelined requests would take many times the memory of their bytes, and nothing behind a rejected
+ * pipelined requests would take many times the memory of their bytes, and nothing after a rejected
  * request may be decoded at all.
  */
 final class RequestDecoder extends HttpRequestDecoder {
--- a/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
@@ -8,7 +8,7 @@
   /** Whether a request on it waits for its response. */
   boolean hasOpenRequest();
 
-  /** Whether it has ever received a whole request. */
+  /** Whether it has received a whole request yet. */
   boolean hasReceivedRequest();
 
   /** Whether no request is open on it, nor received in part. */
--- a/src/main/java/merlinrouter/node/http/ResponseHandler.java
+++ b/src/main/java/merlinrouter/node/http/ResponseHandler.java
@@ -17,7 +17,7 @@
 
 /**
  * Collects a peer's responses and detects malformed ones as early as possible: a length that is too
- * large, missing or given twice is detected in the head. Behind a malformed response nothing is
+ * large, missing or given twice is detected in the head. After a malformed response nothing is
  * read. Used on the event loop only.
  */
 public abstract class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
@@ -36,7 +36,7 @@
   private boolean failed;
 
   /**
-   * The response at hand has no length: only the peer's orderly end of the connection tells that it
+   * The current response has no length: only the peer's orderly end of the connection shows that it
    * is complete.
    */
   private boolean endsWithConnection;
--- a/src/main/java/merlinrouter/node/request/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/request/OpenRequest.java
@@ -85,14 +85,14 @@
     return attemptInFlight;
   }
 
-  /** Notes that an attempt starts. */
+  /** Records that an attempt starts. */
   public void startAttempt() {
     attempts++;
     attemptInFlight = true;
   }
 
   /**
-   * Notes that the attempt in flight ended.
+   * Records that the attempt in flight ended.
    *
    * @param startedAtNanos when it was started, by the gateway's clock
    */
--- a/src/main/java/merlinrouter/node/transport/TcpChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpChannel.java
@@ -6,14 +6,14 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection that tells an orderly end of input from everything else that a read may return.
- * The JDK returns a number below {@code -1} for a read that a signal interrupted, and Netty takes
- * every negative number for the end.
+ * A TCP connection that distinguishes an orderly end of input from everything else that a read may
+ * return. The JDK returns a number below {@code -1} for a read that a signal interrupted, and Netty
+ * takes every negative number for the end.
  */
 public final class TcpChannel extends NioSocketChannel {
   private static final int END_OF_STREAM = -1;
 
-  /** After so many interrupts in a row the read is left to the event loop's next poll. */
+  /** After this many interrupts in a row the read is left to the event loop's next poll. */
   private static final int MAX_INTERRUPTED_READS = 16;
 
   private boolean inputEnded;
@@ -27,7 +27,7 @@
   }
 
   /**
-   * Whether the peer ended its side of the connection in order; false after a reset, an error or a
+   * Whether the peer ended its side of the connection (FIN); false after a reset, an error or a
    * close by this node.
    */
   public boolean isInputEnded() {
--- a/src/main/java/merlinrouter/node/transport/package-info.java
+++ b/src/main/java/merlinrouter/node/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Channels and event-loop hooks that the node adds to Netty's NIO transport: an orderly end of
- * input is told from an interrupted read, and local failures from those of a peer.
+ * input is distinguished from an interrupted read, and local failures from those of a peer.
  */
 package merlinrouter.node.transport;
--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -76,7 +76,7 @@
     connection = null;
   }
 
-  /** Notes whether the whole request was written. */
+  /** Records whether the whole request was written. */
   void setWritten(boolean complete) {
     written = complete;
   }
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -17,7 +17,7 @@
 /**
  * Opens connections to endpoints and counts them. Used on the event loop only.
  *
- * <p>A connection attempt that fails in this process, for want of a file descriptor for instance,
+ * <p>A connection attempt that fails in this process, for lack of a file descriptor for instance,
  * is retried: nothing was sent to the endpoint, and it is not the endpoint's failure. All tries of
  * one attempt together take no longer than one connection attempt may, as the window of an
  * idempotency key assumes.
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -22,14 +22,14 @@
  */
 final class UpstreamConnection extends ResponseHandler {
   /**
-   * Nothing is written for so long after a response: a duplicate of it or stray bytes may follow
+   * Nothing is written for this long after a response: a duplicate of it or stray bytes may follow
    * right behind.
    */
   private static final long QUIET_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   /**
    * A response has {@link EndpointProtocol#MAX_BODY_BYTES} bytes at most: one that began and is not
-   * complete after so long is malformed.
+   * complete after this long is malformed.
    */
   private static final long RESPONSE_COMPLETION_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
--- a/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
@@ -10,7 +10,7 @@
  *
  * @param outcome what it means for the attempt
  * @param chargedUnits the units that the endpoint charged; 0 if not known
- * @param body its body; owned by whoever received it from the wire
+ * @param body its body; owned by the connection that received it
  */
 record UpstreamResponse(Outcome outcome, double chargedUnits, ByteBuf body) {
   private static final int STATUS_OK = 200;
--- a/src/main/java/merlinrouter/node/warmup/StubServer.java
+++ b/src/main/java/merlinrouter/node/warmup/StubServer.java
@@ -26,10 +26,10 @@
 
 /** All endpoints, the counter and discovery in one. Used on its event loop only. */
 final class StubServer {
-  /** One request in so many is rejected, so that retries are warmed up too. */
+  /** One request in this many is rejected, so that retries are warmed up too. */
   private static final int REJECTION_INTERVAL = 17;
 
-  /** One request in so many fails, so that retries are warmed up too. */
+  /** One request in this many fails, so that retries are warmed up too. */
   private static final int ERROR_INTERVAL = 41;
 
   private static final byte[] COUNTER_TOTAL = {'1'};
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -22,11 +22,11 @@
  * Warms up the JVM before a node serves: a second node with the same settings and a gateway of its
  * own handles made-up requests over Unix domain sockets in this process, so that what every request
  * passes is compiled before the first client waits for it. On a part of a CPU core that takes
- * seconds. A node that served meanwhile would stall for half a second, take its own delay for its
- * endpoints', and reject most requests, which come again at once.
+ * seconds. A node that served during that time would stall for half a second, take its own delay
+ * for its endpoints', and reject most requests, which come again at once.
  *
- * <p>Every start is warmed up, also one after a crash. Since other nodes bear the load meanwhile,
- * the time is limited, and a node whose warm-up fails serves without.
+ * <p>Every start is warmed up, also one after a crash. Since other nodes bear the load during that
+ * time, the time is limited, and a node whose warm-up fails serves without.
  */
 public final class WarmUp implements AutoCloseable {
   private static final int ENDPOINTS = 8;
--- a/src/main/java/merlinrouter/quota/CounterHealth.java
+++ b/src/main/java/merlinrouter/quota/CounterHealth.java
@@ -21,7 +21,7 @@
     answeredAtNanos = clock.nowNanos();
   }
 
-  /** Notes the end of a call; returns whether the counter fell silent or answers again by it. */
+  /** Records the end of a call; returns whether the counter fell silent or answers again by it. */
   boolean recordCall(boolean answered) {
     if (answered) {
       answeredAtNanos = clock.nowNanos();
--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -116,7 +116,7 @@
     return number == window;
   }
 
-  /** Notes own units that the counter has added to the present window, or may have added. */
+  /** Records own units that the counter has added to the present window, or may have added. */
   void recordOwnReported(double units) {
     ownWindowUnits += units;
   }
@@ -192,7 +192,7 @@
     divided = true;
   }
 
-  /** Whether the quota is divided for want of a recent total. */
+  /** Whether the quota is divided for lack of a recent total. */
   boolean isDivided() {
     return divided;
   }
--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -229,7 +229,7 @@
     context.calls().start(counterKey, call, 2 * estimate.windowNanos());
   }
 
-  /** Learns from a call that ended, and decides on the request that waited for it. */
+  /** Updates the estimate by a call that ended, and decides on the request that waited for it. */
   void callEnded(CounterCall call, Outcome outcome, double total) {
     callsUnderWay--;
     boolean currentWindow = estimate.isCurrentWindow(call.window());
--- a/src/main/java/merlinrouter/quota/QuotaManager.java
+++ b/src/main/java/merlinrouter/quota/QuotaManager.java
@@ -71,7 +71,7 @@
     reservation.account().admit(reservation);
   }
 
-  /** Takes in the end of a call to the counter; returns whether such a call was under way. */
+  /** Handles the end of a call to the counter; returns whether such a call was under way. */
   public boolean counterCallEnded(long counterKey, Outcome outcome, double total) {
     CounterCall call = calls.end(counterKey, outcome);
     if (call == null) {
--- a/src/main/java/merlinrouter/quota/QuotaReservation.java
+++ b/src/main/java/merlinrouter/quota/QuotaReservation.java
@@ -78,7 +78,7 @@
     return account.mayForward();
   }
 
-  /** Notes that an attempt of the request starts. */
+  /** Records that an attempt of the request starts. */
   public void markForwarded() {
     if (!forwarded) {
       forwarded = true;
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Notes that the client has disconnected while the counter is being asked. */
+  /** Records that the client has disconnected while a call to the counter is under way. */
   public void abandon() {
     state = State.ABANDONED;
   }
--- a/src/main/java/merlinrouter/retry/ExecutionHistory.java
+++ b/src/main/java/merlinrouter/retry/ExecutionHistory.java
@@ -16,7 +16,7 @@
   private Endpoint firstEndpoint;
 
   /**
-   * Notes an attempt that may have been executed; only the first one counts.
+   * Records an attempt that may have been executed; only the first one counts.
    *
    * @param startedAtNanos when it was started
    * @param endpoint where it went
--- a/src/main/java/merlinrouter/settings/CounterSettings.java
+++ b/src/main/java/merlinrouter/settings/CounterSettings.java
@@ -5,7 +5,7 @@
  *
  * @param present whether there is one
  * @param timeoutNanos a call without an answer after this time has timed out
- * @param reportsActualUnits whether responses tell the units that a request really used
+ * @param reportsActualUnits whether responses report the units that a request really used
  * @param maxRequestUnits the largest request, in units
  */
 public record CounterSettings(
