--- a/src/main/java/merlinrouter/loadbalancing/BalancedRequest.java
+++ b/src/main/java/merlinrouter/loadbalancing/BalancedRequest.java
@@ -1,10 +1,10 @@
 package merlinrouter.loadbalancing;
 
-/** A request as the load balancer sees it. */
+/** The properties of a request that load balancing depends on. */
 public interface BalancedRequest {
-  /** Its expected service time at present, in seconds. */
+  /** Returns the current estimate of its service time, in seconds. */
   double expectedServiceSeconds();
 
-  /** When its latest attempt was started. */
+  /** Returns the start time of its latest attempt. */
   long attemptStartedAtNanos();
 }
--- a/src/main/java/merlinrouter/loadbalancing/CandidateSampler.java
+++ b/src/main/java/merlinrouter/loadbalancing/CandidateSampler.java
@@ -5,12 +5,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Samples the endpoints that an attempt chooses among. Gateways that ranked all endpoints alike
- * would send all their requests to the same few.
+ * Samples the candidate endpoints of an attempt. If every gateway chose among all endpoints, the
+ * gateways would concentrate their requests on the same few.
  */
 final class CandidateSampler {
-  /** Candidates of an attempt for each endpoint per gateway. */
-  private static final int CANDIDATES_PER_ENDPOINT_SHARE = 3;
+  /** Random candidates of an attempt, as a multiple of the number of endpoints per gateway. */
+  private static final int CANDIDATE_FACTOR = 3;
 
   private static final int MIN_CANDIDATES = 2;
 
@@ -19,7 +19,7 @@
   private final SplittableRandom random;
   private List<EndpointTracker> ready = List.of();
 
-  /** The ready endpoints in an order that each sample shuffles further. */
+  /** The ready endpoints, partly reshuffled by each sample. */
   private EndpointTracker[] shuffled = {};
 
   CandidateSampler(int gatewayCount, RecentEndpoints recent, SplittableRandom random) {
@@ -34,16 +34,18 @@
     shuffled = trackers.toArray(EndpointTracker[]::new);
   }
 
-  /** Returns some endpoints at random and those that answered last; all, if there are few. */
+  /**
+   * Returns a random sample of the ready endpoints, followed by the recent ones, which may repeat
+   * endpoints; all ready endpoints if there are no more than the size of the sample.
+   */
   List<EndpointTracker> sample() {
-    int count =
-        Math.max(MIN_CANDIDATES, CANDIDATES_PER_ENDPOINT_SHARE * shuffled.length / gatewayCount);
+    int count = Math.max(MIN_CANDIDATES, CANDIDATE_FACTOR * shuffled.length / gatewayCount);
     if (count >= shuffled.length) {
       return ready;
     }
     List<EndpointTracker> sample = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      // A Fisher-Yates shuffle, only as far as it is needed.
+      // A Fisher-Yates shuffle that stops at the size of the sample.
       int drawn = i + random.nextInt(shuffled.length - i);
       EndpointTracker tracker = shuffled[drawn];
       shuffled[drawn] = shuffled[i];
--- a/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointRegistry.java
@@ -11,9 +11,7 @@
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.time.EventClock;
 
-/**
- * The endpoints that a gateway knows, as its list says, and for a while those that were removed.
- */
+/** The endpoints of a gateway's endpoint list, and removed endpoints for a retention period. */
 final class EndpointRegistry {
   private final Map<String, EndpointTracker> trackersById = new LinkedHashMap<>();
   private final GroupStatistics groups;
@@ -30,29 +28,29 @@
   /** Applies an update of the endpoint list. */
   void update(EndpointUpdateType type, List<Endpoint> entries) {
     if (type.isWholeList()) {
-      removeUnnamed(entries);
+      markUnlistedRemoved(entries);
     }
     for (Endpoint entry : entries) {
       apply(entry);
     }
-    // Removed endpoints are kept for a while, and until their last attempt has ended.
+    // Removed endpoints are kept for the retention period and until their last attempt has ended.
     trackersById.values().removeIf(EndpointTracker::isDisposable);
-    List<EndpointTracker> nowReady = new ArrayList<>();
+    List<EndpointTracker> readyTrackers = new ArrayList<>();
     for (EndpointTracker tracker : trackersById.values()) {
       if (tracker.isReady()) {
-        nowReady.add(tracker);
+        readyTrackers.add(tracker);
       }
     }
-    ready = List.copyOf(nowReady);
+    ready = List.copyOf(readyTrackers);
   }
 
-  private void removeUnnamed(List<Endpoint> entries) {
-    Set<String> named = new HashSet<>();
+  private void markUnlistedRemoved(List<Endpoint> entries) {
+    Set<String> listedIds = new HashSet<>();
     for (Endpoint entry : entries) {
-      named.add(entry.id());
+      listedIds.add(entry.id());
     }
     for (EndpointTracker tracker : trackersById.values()) {
-      if (!named.contains(tracker.endpoint().id())) {
+      if (!listedIds.contains(tracker.endpoint().id())) {
         tracker.markRemoved();
       }
     }
@@ -77,17 +75,17 @@
     tracker.update(entry);
   }
 
-  /** The endpoints that take requests, in the order in which they became known. */
+  /** Returns the endpoints that take requests, in the order in which they were first listed. */
   List<EndpointTracker> ready() {
     return ready;
   }
 
-  /** Returns an endpoint; null if it is not known. */
+  /** Returns the tracker of an endpoint; null if none is kept. */
   EndpointTracker get(String id) {
     return trackersById.get(id);
   }
 
-  /** How many endpoints are kept. */
+  /** Returns the number of endpoints that are kept, including removed ones. */
   int size() {
     return trackersById.size();
   }
--- a/src/main/java/merlinrouter/loadbalancing/EndpointScorer.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointScorer.java
@@ -4,17 +4,17 @@
 import merlinrouter.time.EventClock;
 
 /**
- * Scores endpoints by the time in which they should answer, errors included; the lowest score is
- * the best.
+ * Scores endpoints by their expected response time, including the cost of errors; the lowest score
+ * is the best.
  */
 final class EndpointScorer {
-  /** Factor on endpoints outside the gateway's zone. */
+  /** Factor on the score of endpoints outside the gateway's zone. */
   private static final double OTHER_ZONE_FACTOR = 1.05;
 
-  /** An attempt that is overdue for some time is taken to need half of it at least. */
-  private static final double OVERDUE_WEIGHT = 1.0 / 2;
+  /** An endpoint's latency is at least this fraction of the age of its oldest attempt in flight. */
+  private static final double ELAPSED_TIME_WEIGHT = 1.0 / 2;
 
-  /** Error rates above this do not raise the score any further. */
+  /** Error rates above this do not increase the score any further. */
   private static final double MAX_ERROR_RATE = 0.97;
 
   private final GatewaySettings settings;
@@ -32,20 +32,23 @@
     latency *= loadReports.latencyFactor(tracker);
     double successRate = 1 - Math.min(MAX_ERROR_RATE, tracker.errorRate());
     double queueing = 1 + tracker.inFlightCount() / weight(tracker);
-    // Errors weigh more than their share: an attempt that fails costs a retry as well.
+    // The success rate is squared because a failed attempt also costs a retry.
     double score = latency * queueing / (successRate * successRate);
     boolean sameZone = tracker.endpoint().zone() == settings.zone();
     return sameZone ? score : score * OTHER_ZONE_FACTOR;
   }
 
-  /** An overdue response shows a fault before its attempt ends. */
+  /**
+   * Returns a lower bound of the relative latency from the oldest attempt in flight: an overdue
+   * response reveals a fault before the attempt ends.
+   */
   private double overdueLatency(EndpointTracker tracker) {
     BalancedRequest oldest = tracker.oldestInFlight();
     if (oldest == null) {
       return Double.NEGATIVE_INFINITY;
     }
-    double seconds = clock.secondsSince(oldest.attemptStartedAtNanos());
-    return seconds / oldest.expectedServiceSeconds() * OVERDUE_WEIGHT;
+    double elapsedSeconds = clock.secondsSince(oldest.attemptStartedAtNanos());
+    return elapsedSeconds / oldest.expectedServiceSeconds() * ELAPSED_TIME_WEIGHT;
   }
 
   private double weight(EndpointTracker tracker) {
--- a/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
@@ -10,8 +10,8 @@
 import merlinrouter.time.Nanos;
 
 /**
- * What a gateway knows of one incarnation of an endpoint: its entry in the list, the attempts in
- * flight on it, and its latency, errors and load as observed.
+ * The state of one incarnation of an endpoint at a gateway: its entry in the endpoint list, its
+ * attempts in flight, and its observed latency, errors and load.
  */
 public final class EndpointTracker {
   /** Weight of an attempt in the endpoint's mean latency. */
@@ -20,25 +20,25 @@
   /** Weight of a success in the endpoint's error rate. */
   private static final double SUCCESS_SAMPLE_WEIGHT = 0.2;
 
-  /** Weight of an error: above that of a success, so that a faulty endpoint is noticed soon. */
+  /** Weight of an error: above that of a success, so that a faulty endpoint is detected soon. */
   private static final double ERROR_SAMPLE_WEIGHT = 2 * SUCCESS_SAMPLE_WEIGHT;
 
-  /** A failed connect says at once that the endpoint is unreachable. */
+  /** Weight of a failed connect: a single one shows that the endpoint is unreachable. */
   private static final double CONNECT_FAILURE_SAMPLE_WEIGHT = 1;
 
   /** Time constant with which observations decay toward the mean of the endpoint's group. */
   private static final double DECAY_SECONDS = 4;
 
-  /** How long a removed endpoint is remembered. */
+  /** How long a removed endpoint keeps its statistics, in case it is listed again. */
   private static final long RETENTION_NANOS = 30 * Nanos.PER_SECOND;
 
-  /** Upper bound on an attempt's duration, relative to the expected one. */
+  /** Upper bound on the recorded latency of an attempt, relative to the expected time. */
   private static final double MAX_RELATIVE_LATENCY = 20;
 
-  /** A failure counts as an attempt that took at least this long, relative to the expected time. */
+  /** Lower bound on the recorded latency of a failure, relative to the expected time. */
   private static final double MIN_RELATIVE_LATENCY_OF_FAILURE = 3;
 
-  /** A rejection shows load rather than a fault. */
+  /** Error value of a rejection, which indicates load rather than a fault. */
   private static final double REJECTION_ERROR = 0.5;
 
   /** An endpoint with a higher error rate is an outlier. */
@@ -60,9 +60,9 @@
   private long removedAtNanos;
 
   /**
-   * Creates a tracker that takes an endpoint to be like its group.
+   * Creates a tracker whose statistics start at the means of the endpoint's group.
    *
-   * @param gatewayStartedAtNanos stands for the time of the last load report
+   * @param gatewayStartedAtNanos initial value for the time of the last load report
    */
   EndpointTracker(
       Endpoint endpoint, GroupStatistics groups, EventClock clock, long gatewayStartedAtNanos) {
@@ -76,19 +76,19 @@
     loadReportedAtNanos = gatewayStartedAtNanos;
   }
 
-  /** The endpoint's entry in the list. */
+  /** Returns the endpoint's entry in the endpoint list. */
   public Endpoint endpoint() {
     return endpoint;
   }
 
-  /** Takes over a changed entry of the same incarnation of the endpoint. */
+  /** Applies an entry of the endpoint list for the same incarnation of the endpoint. */
   void update(Endpoint entry) {
     endpoint = entry;
     ready = entry.state() == EndpointState.READY;
     removed = false;
   }
 
-  /** Records that the list does not hold the endpoint any more. */
+  /** Records that the endpoint was removed from the endpoint list. */
   void markRemoved() {
     ready = false;
     if (!removed) {
@@ -97,17 +97,20 @@
     }
   }
 
-  /** Records that another incarnation of the endpoint has taken its place. */
+  /** Records that the endpoint has restarted; its new incarnation has a tracker of its own. */
   void markReplaced() {
     ready = false;
   }
 
-  /** Whether the endpoint takes new requests. */
+  /** Returns whether the endpoint takes new requests. */
   boolean isReady() {
     return ready;
   }
 
-  /** Whether nothing needs the tracker any more. */
+  /**
+   * Returns whether the tracker can be dropped: the endpoint was removed at least the retention
+   * period ago and has no attempts in flight.
+   */
   boolean isDisposable() {
     return removed && clock.nanosSince(removedAtNanos) >= RETENTION_NANOS && inFlight.isEmpty();
   }
@@ -116,12 +119,12 @@
     inFlight.add(request);
   }
 
-  /** How many attempts are in flight on the endpoint. */
+  /** Returns the number of attempts in flight on the endpoint. */
   int inFlightCount() {
     return inFlight.size();
   }
 
-  /** The request whose attempt has been in flight longest; null if there is none. */
+  /** Returns the request whose attempt has been in flight longest; null if there is none. */
   BalancedRequest oldestInFlight() {
     return inFlight.isEmpty() ? null : inFlight.iterator().next();
   }
@@ -131,11 +134,11 @@
   }
 
   /**
-   * Updates the statistics by an attempt that ended.
+   * Updates the statistics with an attempt that has ended.
    *
    * @param expectedSeconds the expected duration of the attempt
-   * @param endpointCount how many endpoints are ready
-   * @return whether the endpoint became an outlier, or ceased to be one, by it
+   * @param endpointCount the number of ready endpoints
+   * @return whether the attempt made the endpoint an outlier, or ended that status
    */
   boolean observe(AttemptResult result, double expectedSeconds, int endpointCount) {
     boolean success = result.outcome() == Outcome.OK;
@@ -172,17 +175,20 @@
     };
   }
 
-  /** Whether the endpoint's error rate marks it as an outlier. */
+  /** Returns whether the endpoint's error rate makes it an outlier. */
   boolean isOutlier() {
     return outlier;
   }
 
-  /** Mean latency relative to the expected service time, decayed toward that of its kind. */
+  /**
+   * Returns the mean latency relative to the expected service time, decayed toward the mean of its
+   * machine type.
+   */
   double relativeLatency() {
     return decayed(relativeLatency, groups.relativeLatency(endpoint.machineType()));
   }
 
-  /** Mean error rate, decayed toward that of its zone. */
+  /** Returns the mean error rate, decayed toward that of its zone. */
   double errorRate() {
     return decayed(errorRate, groups.errorRate(endpoint.zone()));
   }
@@ -192,23 +198,26 @@
     return groupMean + (observed - groupMean) * weight;
   }
 
-  /** Records the load of a load report. */
+  /** Records the load computed from a load report. */
   void loadReported(double load) {
     reportedLoad = load;
     loadReportedAtNanos = clock.nowNanos();
   }
 
-  /** The load of the last report; 0 if there was none. */
+  /** Returns the load of the last report; 0 before the first one. */
   double reportedLoad() {
     return reportedLoad;
   }
 
-  /** Seconds since the last load report. */
+  /** Returns the seconds since the last load report, or since the gateway started. */
   double loadReportAgeSeconds() {
     return clock.secondsSince(loadReportedAtNanos);
   }
 
-  /** Returns the nanoseconds since the last call, and starts counting anew. */
+  /**
+   * Returns the nanoseconds since the previous call, or since the tracker was created, and resets
+   * the interval.
+   */
   long takeNanosSinceSlowStartCheck() {
     long elapsedNanos = clock.nanosSince(slowStartCheckedAtNanos);
     slowStartCheckedAtNanos = clock.nowNanos();
--- a/src/main/java/merlinrouter/loadbalancing/ForwardedWork.java
+++ b/src/main/java/merlinrouter/loadbalancing/ForwardedWork.java
@@ -2,7 +2,7 @@
 
 import merlinrouter.time.EventClock;
 
-/** The rate at which this gateway forwards work: seconds of expected service per second. */
+/** The rate at which this gateway forwards work, in seconds of expected service per second. */
 final class ForwardedWork {
   private static final double TIME_CONSTANT_SECONDS = 4;
 
@@ -14,14 +14,14 @@
     this.clock = clock;
   }
 
-  /** Adds a request that is forwarded. */
+  /** Adds a forwarded request. */
   void record(double expectedServiceSeconds) {
     double decay = Math.exp(-clock.secondsSince(updatedAtNanos) / TIME_CONSTANT_SECONDS);
     workPerSecond = workPerSecond * decay + expectedServiceSeconds / TIME_CONSTANT_SECONDS;
     updatedAtNanos = clock.nowNanos();
   }
 
-  /** The rate as of the last forwarded request. */
+  /** Returns the rate as of the last forwarded request. */
   double workPerSecond() {
     return workPerSecond;
   }
--- a/src/main/java/merlinrouter/loadbalancing/GroupStatistics.java
+++ b/src/main/java/merlinrouter/loadbalancing/GroupStatistics.java
@@ -4,40 +4,41 @@
 import java.util.Map;
 
 /**
- * Mean latency by machine type and mean error rate by zone. A gateway with few attempts on a single
- * endpoint relies on those on similar endpoints.
+ * Mean latency by machine type and mean error rate by zone. With few attempts on an endpoint, a
+ * gateway relies on those on similar endpoints.
  */
 final class GroupStatistics {
-  /** Weight of an attempt, divided by the number of endpoints. */
+  /** Weight of an attempt in a mean, before division by the number of ready endpoints. */
   private static final double SAMPLE_WEIGHT = 2 * EndpointTracker.LATENCY_SAMPLE_WEIGHT;
 
-  /** Latency of a machine type without attempts, relative to the expected service time. */
+  /** Latency assumed for a machine type without attempts, relative to the expected time. */
   private static final double INITIAL_RELATIVE_LATENCY = 1;
 
   private final Map<Integer, Double> relativeLatencyByMachineType = new HashMap<>();
   private final Map<Integer, Double> errorRateByZone = new HashMap<>();
 
   /**
-   * Adds an attempt.
+   * Records an attempt.
    *
    * @param relativeLatency its duration relative to the expected service time
    * @param error 0 for a success, up to 1 for an error
-   * @param endpointCount how many endpoints are ready
+   * @param endpointCount the number of ready endpoints
    */
   void recordAttempt(
       int machineType, int zone, double relativeLatency, double error, int endpointCount) {
     double weight = SAMPLE_WEIGHT / Math.max(1, endpointCount);
     relativeLatencyByMachineType.merge(
         machineType, relativeLatency, (mean, sample) -> mean + weight * (sample - mean));
-    errorRateByZone.merge(zone, weight * error, (mean, first) -> mean + weight * (error - mean));
+    errorRateByZone.merge(
+        zone, weight * error, (mean, weightedError) -> mean + weight * (error - mean));
   }
 
-  /** Mean latency of a machine type, relative to the expected service time. */
+  /** Returns the mean latency of a machine type, relative to the expected service time. */
   double relativeLatency(int machineType) {
     return relativeLatencyByMachineType.getOrDefault(machineType, INITIAL_RELATIVE_LATENCY);
   }
 
-  /** Mean error rate of a zone, 0 to 1. */
+  /** Returns the mean error rate of a zone, 0 to 1. */
   double errorRate(int zone) {
     return errorRateByZone.getOrDefault(zone, 0.0);
   }
--- a/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadBalancer.java
@@ -11,9 +11,9 @@
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.time.EventClock;
 
-/** Chooses endpoints for attempts and learns from how these end. Used by one thread. */
+/** Chooses endpoints for attempts by the results of earlier attempts. Used by one thread. */
 public final class LoadBalancer {
-  /** Scores are raised at random by up to this fraction, so that gateways do not choose alike. */
+  /** Scores are raised at random by up to this fraction so that gateways choose differently. */
   private static final double SCORE_NOISE = 0.1;
 
   private final GatewaySettings settings;
@@ -30,7 +30,7 @@
   /**
    * Creates a load balancer without endpoints.
    *
-   * @param log takes lines for operators
+   * @param log receives log lines for operators
    * @param random the gateway's source of randomness
    */
   public LoadBalancer(
@@ -53,22 +53,25 @@
     sampler.setReady(registry.ready());
   }
 
-  /** How many endpoints take requests. */
+  /** Returns the number of endpoints that take requests. */
   public int readyCount() {
     return registry.ready().size();
   }
 
-  /** How many endpoints are kept, removed ones included. */
+  /** Returns the number of endpoints that are kept, including removed ones. */
   public int trackedCount() {
     return registry.size();
   }
 
-  /** Chooses the endpoint that should answer soonest; null if none may get the request now. */
+  /** Chooses the best-scored endpoint of a sample; null if none may receive the request now. */
   public EndpointTracker choose(BalancedRequest request) {
     return best(request, sampler.sample());
   }
 
-  /** Chooses among all endpoints that a condition holds for; null if none may get the request. */
+  /**
+   * Chooses the best-scored of all ready endpoints that match a condition; null if none may receive
+   * the request now.
+   */
   public EndpointTracker chooseAmong(BalancedRequest request, Predicate<Endpoint> condition) {
     List<EndpointTracker> candidates =
         registry.ready().stream().filter(each -> condition.test(each.endpoint())).toList();
@@ -80,7 +83,7 @@
     double bestScore = Double.MAX_VALUE;
     for (EndpointTracker candidate : candidates) {
       double score = scorer.score(candidate) * (1 + SCORE_NOISE * random.nextDouble());
-      if (score < bestScore && mayGet(request, candidate)) {
+      if (score < bestScore && mayReceive(request, candidate)) {
         best = candidate;
         bestScore = score;
       }
@@ -88,7 +91,7 @@
     return best;
   }
 
-  private boolean mayGet(BalancedRequest request, EndpointTracker candidate) {
+  private boolean mayReceive(BalancedRequest request, EndpointTracker candidate) {
     return !slowStart.isWarmingUp(candidate)
         || slowStart.trySelect(candidate, request.expectedServiceSeconds(), registry.ready());
   }
@@ -100,8 +103,8 @@
   }
 
   /**
-   * Updates the statistics by an attempt that ended. One that was cancelled or never sent says
-   * nothing.
+   * Updates the statistics with an attempt that has ended. An attempt that was cancelled or never
+   * sent is not counted, as it shows nothing about the endpoint.
    */
   public void attemptEnded(EndpointTracker tracker, BalancedRequest request, AttemptResult result) {
     tracker.attemptEnded(request);
@@ -121,9 +124,9 @@
   }
 
   /**
-   * Chooses an endpoint to check, at random, for a request that was queued: where responses come
-   * less than once a second from each endpoint, health checks make up for them. Null if no check is
-   * needed or allowed.
+   * Chooses a random endpoint to check when a request has been queued: if requests are forwarded at
+   * a rate below one per second per endpoint, health checks supplement the rare responses. Returns
+   * null if no check is needed, or if the settings do not allow health checks or load reports.
    */
   public Endpoint chooseForHealthCheck(BalancedRequest request) {
     List<EndpointTracker> ready = registry.ready();
@@ -138,7 +141,7 @@
     return ready.get(random.nextInt(ready.size())).endpoint();
   }
 
-  /** Handles the end of a health check; the report is empty if there is none. */
+  /** Records the end of a health check; the report is empty if the endpoint sent none. */
   public void healthCheckEnded(String endpointId, List<Double> loadReport) {
     EndpointTracker tracker = registry.get(endpointId);
     if (tracker != null) {
--- a/src/main/java/merlinrouter/loadbalancing/LoadReports.java
+++ b/src/main/java/merlinrouter/loadbalancing/LoadReports.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import merlinrouter.settings.SettingKeys;
 
-/** Loads that endpoints report in answer to health checks. */
+/** The loads that endpoints report in their responses to health checks. */
 final class LoadReports {
   /** Weight of a report in the mean load. */
   private static final double SAMPLE_WEIGHT = 0.05;
 
-  /** Time constant with which a report loses its meaning. */
+  /** Time constant with which the effect of a report decays. */
   private static final double DECAY_SECONDS = 1;
 
   private final List<String> valueNames;
@@ -18,12 +18,15 @@
     this.valueNames = valueNames;
   }
 
-  /** Whether endpoints report their load at all. */
+  /** Returns whether endpoints report their load. */
   boolean areEnabled() {
     return !valueNames.isEmpty();
   }
 
-  /** Handles a report; an empty one stands for an endpoint that reports nothing or is silent. */
+  /**
+   * Records a report; an empty one means that the endpoint reports no load or did not answer the
+   * health check.
+   */
   void record(EndpointTracker tracker, List<Double> report) {
     double load = report.isEmpty() ? assumedLoad() : 0;
     for (int i = 0; i < Math.min(report.size(), valueNames.size()); i++) {
@@ -33,13 +36,17 @@
     tracker.loadReported(load);
   }
 
-  /** An endpoint without a report is not idle: it is assumed to be busier than the mean. */
+  /**
+   * Returns the load assumed for an endpoint without a report: above the mean, so that it is not
+   * taken to be idle.
+   */
   private double assumedLoad() {
     return 1 + 2 * meanLoad;
   }
 
   /**
-   * Factor on an endpoint's latency for its load: 1 for the mean load or without a recent report.
+   * Returns the factor on an endpoint's latency for its load: 1 for the mean load, and close to 1
+   * without a recent report.
    */
   double latencyFactor(EndpointTracker tracker) {
     double weight = Math.exp(-tracker.loadReportAgeSeconds() / DECAY_SECONDS);
--- a/src/main/java/merlinrouter/loadbalancing/RecentEndpoints.java
+++ b/src/main/java/merlinrouter/loadbalancing/RecentEndpoints.java
@@ -2,19 +2,22 @@
 
 import java.util.Collection;
 
-/** The endpoints that answered last, the newest few of them. */
+/**
+ * The endpoints of the most recent successful attempts and health checks; a health check counts
+ * whatever its outcome.
+ */
 final class RecentEndpoints {
   private static final int CAPACITY = 6;
 
   private final EndpointTracker[] trackers = new EndpointTracker[CAPACITY];
-  private int recorded;
+  private int recordedCount;
 
   void record(EndpointTracker tracker) {
-    trackers[recorded % CAPACITY] = tracker;
-    recorded++;
+    trackers[recordedCount % CAPACITY] = tracker;
+    recordedCount++;
   }
 
-  /** Adds those that take requests. */
+  /** Adds the recent endpoints that take requests; one that was recorded repeatedly repeats. */
   void addReadyTo(Collection<EndpointTracker> target) {
     for (EndpointTracker tracker : trackers) {
       if (tracker != null && tracker.isReady()) {
--- a/src/main/java/merlinrouter/loadbalancing/SlowStart.java
+++ b/src/main/java/merlinrouter/loadbalancing/SlowStart.java
@@ -8,10 +8,10 @@
 import merlinrouter.time.Nanos;
 
 /**
- * Limits the work that an endpoint gets while it is warming up. The limit has to hold for the sum
- * of all gateways, none of which knows what the others send: each one gives the endpoint its
- * fraction at random, in proportion to what it sends to a warm endpoint, and saves up nothing for a
- * burst.
+ * Limits the work that an endpoint receives while it is warming up. The limit applies to the sum
+ * over all gateways, and no gateway has the rates of the others. Each gateway therefore forwards
+ * requests at random, at the endpoint's capacity fraction of its own rate to a warm endpoint, and
+ * does not accumulate unused capacity for a burst.
  */
 final class SlowStart {
   private final ServiceRules rules;
@@ -33,14 +33,14 @@
     this.random = random;
   }
 
-  /** Whether an endpoint started so recently that its capacity is limited. */
+  /** Returns whether an endpoint started so recently that its capacity is limited. */
   boolean isWarmingUp(EndpointTracker tracker) {
     Endpoint endpoint = tracker.endpoint();
     return endpoint.startedAtNanos() > 0
         && clock.nanosSince(endpoint.startedAtNanos()) < rules.slowStartDurationNanos();
   }
 
-  /** The fraction of its capacity that an endpoint has now, from the initial fraction to 1. */
+  /** Returns the current fraction of an endpoint's capacity, from the initial fraction to 1. */
   double capacityFraction(Endpoint endpoint) {
     long ageNanos = Math.max(0, clock.nanosSince(endpoint.startedAtNanos()));
     double relativeAge = ageNanos / (double) Math.max(1, rules.slowStartDurationNanos());
@@ -49,25 +49,25 @@
   }
 
   /**
-   * Decides at random whether an endpoint that is warming up may get a request. Time that has been
-   * used for a decision is not used for the next.
+   * Decides at random whether an endpoint that is warming up may receive a request. The probability
+   * is proportional to the time since the previous decision on this endpoint.
    *
    * @param ready all endpoints that take requests
    */
   boolean trySelect(EndpointTracker tracker, double expectedSeconds, List<EndpointTracker> ready) {
-    int warm = 0;
+    int warmCount = 0;
     for (EndpointTracker each : ready) {
-      warm += isWarmingUp(each) ? 0 : 1;
+      warmCount += isWarmingUp(each) ? 0 : 1;
     }
-    // Any endpoint bears one request at a time from the whole fleet. Without this floor a gateway
-    // that has sent nothing yet, with no warm endpoint, would never begin.
+    // Any endpoint can serve one request at a time from the whole fleet. Without this lower bound,
+    // a gateway with no warm endpoint that has forwarded nothing yet would never forward a request.
     double workPerSecond =
-        Math.max(forwardedWork.workPerSecond() / Math.max(1, warm), 1.0 / gatewayCount);
-    double dueSeconds =
+        Math.max(forwardedWork.workPerSecond() / Math.max(1, warmCount), 1.0 / gatewayCount);
+    double permittedSeconds =
         workPerSecond
             * capacityFraction(tracker.endpoint())
             * tracker.takeNanosSinceSlowStartCheck()
             * Nanos.IN_SECONDS;
-    return random.nextDouble() * expectedSeconds < dueSeconds;
+    return random.nextDouble() * expectedSeconds < permittedSeconds;
   }
 }
