--- a/src/main/java/merlinrouter/Main.java
+++ b/src/main/java/merlinrouter/Main.java
@@ -10,8 +10,8 @@
 import merlinrouter.simulator.SimulatorAdapter;
 
 /**
- * The program: {@code serve} runs an edge node, {@code simulate} the gateway's decisions on the
- * simulator's wire.
+ * Entry point of the program: {@code serve} runs an edge node, {@code simulate} runs gateways for
+ * the simulator.
  */
 public final class Main {
   private static final int EXIT_CANNOT_START = 1;
@@ -25,7 +25,7 @@
 
   private Main() {}
 
-  /** Runs the command that the one argument names. */
+  /** Runs the command named by the only argument. */
   public static void main(String[] args) {
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> serve(System.getenv(CONFIG_VARIABLE));
@@ -60,7 +60,7 @@
     }
   }
 
-  /** The interval of the log's counts; empty if the variable has no valid value. */
+  /** Returns the interval between log lines of counts; empty if the variable's value is invalid. */
   private static OptionalInt logIntervalSeconds() {
     String text = System.getenv(LOG_INTERVAL_VARIABLE);
     if (text == null || text.isEmpty()) {
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Ends the process at once, without the shutdown hook. */
+  /** Ends the process immediately, without running the shutdown hook. */
   private static void exit(int status, String line) {
     System.err.println(line);
     Runtime.getRuntime().halt(status);
--- a/src/main/java/merlinrouter/package-info.java
+++ b/src/main/java/merlinrouter/package-info.java
@@ -1,2 +1,5 @@
-/** The program: its commands, and the packages of the edge node and of the simulator's adapter. */
+/**
+ * Entry point of merlinrouter; the subpackages contain the gateway's decisions, the edge node and
+ * the simulator's adapter.
+ */
 package merlinrouter;
--- a/src/main/java/merlinrouter/simulator/EventParser.java
+++ b/src/main/java/merlinrouter/simulator/EventParser.java
@@ -8,7 +8,7 @@
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.model.Outcome;
 
-/** Reads the fields of event lines; each method reads one kind of line. */
+/** Reads the fields of event lines; each method reads one type of line. */
 final class EventParser {
   /** Field 1 of every event. */
   private static final int INSTANCE = 1;
@@ -40,10 +40,10 @@
    * The start of a gateway instance.
    *
    * @param seed seeds the instance's random numbers
-   * @param words the line's fields
-   * @param firstSetting index of the first of the words that hold settings, {@code key=value} each
+   * @param fields the line's fields
+   * @param firstSetting index of the first field that holds a setting of the form {@code key=value}
    */
-  record InstanceStart(long seed, String[] words, int firstSetting) {}
+  record InstanceStart(long seed, String[] fields, int firstSetting) {}
 
   /** Reads the start of a gateway instance. */
   static InstanceStart instanceStart(WireLine line) throws MalformedInputException {
@@ -60,15 +60,19 @@
   /**
    * The head of an endpoint update.
    *
-   * @param type what the update holds
-   * @param endpointCount how many endpoint lines follow
+   * @param type the type of the update
+   * @param endpointCount the number of endpoint lines that follow
    */
   record EndpointUpdateHead(EndpointUpdateType type, int endpointCount) {}
 
   /** Reads the head of an endpoint update. */
   static EndpointUpdateHead endpointUpdateHead(WireLine line) throws MalformedInputException {
     return new EndpointUpdateHead(
-        decode(line, line.intValue(UpdateFields.TYPE), WireVocabulary.UPDATE_TYPES, "kind of list"),
+        decode(
+            line,
+            line.intValue(UpdateFields.TYPE),
+            WireVocabulary.UPDATE_TYPES,
+            "endpoint update type"),
         line.intValue(UpdateFields.ENDPOINT_COUNT));
   }
 
@@ -87,7 +91,10 @@
   static Endpoint endpoint(WireLine line) throws MalformedInputException {
     var state =
         decode(
-            line, line.intValue(EndpointFields.STATE), WireVocabulary.ENDPOINT_STATES, "readiness");
+            line,
+            line.intValue(EndpointFields.STATE),
+            WireVocabulary.ENDPOINT_STATES,
+            "endpoint state");
     return new Endpoint(
         line.string(EndpointFields.ID),
         line.doubleValue(EndpointFields.WEIGHT),
@@ -111,7 +118,7 @@
     static final int FLAGS = 10;
   }
 
-  /** Reads a request that arrived. */
+  /** Reads a request that a gateway received. */
   static ClientRequest clientRequest(WireLine line) throws MalformedInputException {
     return new ClientRequest(
         line.string(RequestFields.ID),
@@ -171,7 +178,7 @@
   /**
    * The end of a counter call.
    *
-   * @param counterKey names the counter
+   * @param counterKey the key of the counter
    * @param outcome how the call ended
    * @param totalUnits the counter's value after the call
    */
@@ -199,7 +206,7 @@
    * @param endpointId the endpoint that was checked
    * @param outcome how the check ended
    * @param durationNanos time since the check was started
-   * @param loadReport the endpoint's load report; empty if there is none
+   * @param loadReport the endpoint's load report; empty if the endpoint sent none
    */
   record HealthCheckResult(
       String endpointId, Outcome outcome, long durationNanos, List<Double> loadReport) {}
@@ -225,11 +232,11 @@
     return decode(line, line.string(position), WireVocabulary.OUTCOMES, "outcome");
   }
 
-  private static <C, V> V decode(WireLine line, C code, Map<C, V> values, String what)
+  private static <C, V> V decode(WireLine line, C code, Map<C, V> values, String codeType)
       throws MalformedInputException {
     V value = values.get(code);
     if (value == null) {
-      throw line.malformed("unknown " + what);
+      throw line.malformed("unknown " + codeType);
     }
     return value;
   }
--- a/src/main/java/merlinrouter/simulator/MalformedInputException.java
+++ b/src/main/java/merlinrouter/simulator/MalformedInputException.java
@@ -1,10 +1,10 @@
 package merlinrouter.simulator;
 
-/** Thrown for input that violates the protocol; the message names the line and its error. */
+/** Thrown for input that violates the protocol; the message names the line and the error. */
 final class MalformedInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Longer lines are cut in the message. */
+  /** Longer lines are truncated in the message. */
   private static final int MAX_QUOTED_CHARACTERS = 200;
 
   MalformedInputException(long lineNumber, String line, String reason) {
--- a/src/main/java/merlinrouter/simulator/SimulatorAdapter.java
+++ b/src/main/java/merlinrouter/simulator/SimulatorAdapter.java
@@ -7,7 +7,7 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** The adapter's entry point: hosts gateways for the simulator until its input ends. */
+/** Entry point of the adapter, which hosts gateways for the simulator until its input ends. */
 public final class SimulatorAdapter {
   private static final String COMMAND = "simulate";
   private static final int BUFFER_CHARACTERS = 64 * 1024;
@@ -18,9 +18,9 @@
   private SimulatorAdapter() {}
 
   /**
-   * Runs the adapter; the only argument is the word {@code simulate}. Returns at the end of the
-   * input; ends the process with status 1 on malformed input or an I/O error and with 2 on a bad
-   * command line.
+   * Runs the adapter; the only argument is {@code simulate}. Returns at the end of the input; ends
+   * the process with status 1 on malformed input or an I/O error and with 2 on an invalid command
+   * line.
    */
   public static void main(String[] args) {
     if (args.length != 1 || !args[0].equals(COMMAND)) {
@@ -39,7 +39,7 @@
       System.err.println(e.getMessage());
       System.exit(EXIT_MALFORMED_INPUT);
     } catch (IOException e) {
-      System.err.println("the wire broke: " + e.getMessage());
+      System.err.println("I/O error on standard input or output: " + e.getMessage());
       System.exit(EXIT_IO_ERROR);
     }
   }
--- a/src/main/java/merlinrouter/simulator/WireLine.java
+++ b/src/main/java/merlinrouter/simulator/WireLine.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * One line of input, split into fields. Field 0 is the line's word. The accessors throw {@link
+ * One line of input, split into fields. Field 0 is the keyword. The accessors throw {@link
  * MalformedInputException} for a field that is missing or of another type.
  */
 final class WireLine {
@@ -24,56 +24,56 @@
     fields = text.split(WireVocabulary.FIELD_SEPARATOR);
   }
 
-  /** The first field, which names what the line says; empty for a blank line. */
-  String word() {
+  /** Returns the first field, which names the type of the line; empty for a blank line. */
+  String keyword() {
     return fields.length == 0 ? "" : fields[0];
   }
 
-  /** All fields, the line's word included; not a copy. */
+  /** Returns all fields, including the keyword; the array is not a copy. */
   String[] fields() {
     return fields;
   }
 
-  /** A field that must not be empty. */
+  /** Returns a field that must not be empty. */
   String string(int position) throws MalformedInputException {
     if (position >= fields.length || fields[position].isEmpty()) {
-      throw malformed("value " + position + " is missing");
+      throw malformed("field " + position + " is missing");
     }
     return fields[position];
   }
 
-  /** A whole number within the range of an int; 0 for an absent value. */
+  /** Returns a field as an integer in the range of an int; 0 for an absent value. */
   int intValue(int position) throws MalformedInputException {
     long value = longValue(position);
     if (value != (int) value) {
-      throw malformed("value " + position + " is out of range");
+      throw malformed("field " + position + " is out of the range of 32-bit integers");
     }
     return (int) value;
   }
 
-  /** A whole number; 0 for an absent value. */
+  /** Returns a field as an integer; 0 for an absent value. */
   long longValue(int position) throws MalformedInputException {
     try {
       return isAbsent(position) ? 0 : Long.parseLong(fields[position]);
     } catch (NumberFormatException e) {
-      throw malformed("value " + position + " is not a whole number");
+      throw malformed("field " + position + " is not a 64-bit integer");
     }
   }
 
-  /** A finite number; 0 for an absent value. */
+  /** Returns a field as a finite number; 0 for an absent value. */
   double doubleValue(int position) throws MalformedInputException {
     try {
       double value = isAbsent(position) ? 0 : Double.parseDouble(fields[position]);
       if (!Double.isFinite(value)) {
-        throw malformed("value " + position + " is not finite");
+        throw malformed("field " + position + " is not a finite number");
       }
       return value;
     } catch (NumberFormatException e) {
-      throw malformed("value " + position + " is not a number");
+      throw malformed("field " + position + " is not a number");
     }
   }
 
-  /** A list of numbers; empty for an absent value or where the line ends before the field. */
+  /** Returns a field as a list of numbers; empty if the value is absent or the field missing. */
   List<Double> doubleValues(int position) throws MalformedInputException {
     if (position >= fields.length || isAbsent(position)) {
       return List.of();
@@ -83,13 +83,13 @@
       try {
         values.add(Double.parseDouble(value));
       } catch (NumberFormatException e) {
-        throw malformed("value " + position + " is not a row of numbers");
+        throw malformed("field " + position + " is not a comma-separated list of numbers");
       }
     }
     return values;
   }
 
-  /** An exception that names this line. */
+  /** Returns an exception that names this line. */
   MalformedInputException malformed(String reason) {
     return new MalformedInputException(number, text, reason);
   }
--- a/src/main/java/merlinrouter/simulator/WireReader.java
+++ b/src/main/java/merlinrouter/simulator/WireReader.java
@@ -11,8 +11,8 @@
 import merlinrouter.settings.SettingsReader;
 
 /**
- * Reads batches of events, hands each event to the gateway instance concerned and has the reply
- * written. Used by one thread.
+ * Reads batches of events, passes each event to the gateway instance that it is addressed to, and
+ * has a reply written for each batch. Used by one thread.
  */
 final class WireReader {
   private final BufferedReader in;
@@ -30,8 +30,9 @@
   /** Handles batches until the input ends. */
   void run() throws IOException, MalformedInputException {
     while (readLine()) {
-      if (!line.word().equals(WireVocabulary.BATCH_BEGIN)) {
-        throw line.malformed("a batch begins with '" + WireVocabulary.BATCH_BEGIN + "'");
+      if (!line.keyword().equals(WireVocabulary.BATCH_BEGIN)) {
+        throw line.malformed(
+            "expected '" + WireVocabulary.BATCH_BEGIN + "' at the start of a batch");
       }
       nowNanos = EventParser.batchTimeNanos(line);
       handleEvents();
@@ -43,9 +44,9 @@
   private void handleEvents() throws IOException, MalformedInputException {
     while (true) {
       if (!readLine()) {
-        throw line.malformed("the input ends inside a batch, after");
+        throw line.malformed("the input ends inside a batch after this line");
       }
-      if (line.word().equals(WireVocabulary.BATCH_END)) {
+      if (line.keyword().equals(WireVocabulary.BATCH_END)) {
         return;
       }
       handleEvent();
@@ -65,7 +66,7 @@
 
   private void handleEvent() throws IOException, MalformedInputException {
     int instance = EventParser.instance(line);
-    switch (line.word()) {
+    switch (line.keyword()) {
       case WireVocabulary.INSTANCE_STARTED -> startInstance(instance);
       case WireVocabulary.INSTANCE_STOPPED -> gatewaysByInstance.remove(instance);
       case WireVocabulary.ENDPOINTS_UPDATED -> updateEndpoints(gateway(instance));
@@ -92,12 +93,12 @@
       gatewaysByInstance.put(
           instance,
           new Gateway(
-              SettingsReader.read(start.words(), start.firstSetting()),
+              SettingsReader.read(start.fields(), start.firstSetting()),
               start.seed(),
               nowNanos,
               out.actionsOf(instance)));
     } catch (IllegalArgumentException e) {
-      throw line.malformed("bad settings (" + e.getMessage() + ")");
+      throw line.malformed("invalid settings (" + e.getMessage() + ")");
     }
   }
 
@@ -105,8 +106,9 @@
     EventParser.EndpointUpdateHead head = EventParser.endpointUpdateHead(line);
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < head.endpointCount(); i++) {
-      if (!readLine() || !line.word().equals(WireVocabulary.ENDPOINT)) {
-        throw line.malformed("'" + WireVocabulary.ENDPOINT + "' expected");
+      if (!readLine() || !line.keyword().equals(WireVocabulary.ENDPOINT)) {
+        throw line.malformed(
+            "expected '" + WireVocabulary.ENDPOINT + "' with an endpoint of the update");
       }
       endpoints.add(EventParser.endpoint(line));
     }
@@ -131,7 +133,7 @@
   private Gateway gateway(int instance) throws MalformedInputException {
     Gateway gateway = gatewaysByInstance.get(instance);
     if (gateway == null) {
-      throw line.malformed("instance " + instance + " was not started");
+      throw line.malformed("instance " + instance + " is not running");
     }
     return gateway;
   }
--- a/src/main/java/merlinrouter/simulator/WireVocabulary.java
+++ b/src/main/java/merlinrouter/simulator/WireVocabulary.java
@@ -5,23 +5,23 @@
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.model.Outcome;
 
-/** The protocol's own words and codes, mapped to the gateway's terms. */
+/** The keywords and codes of the simulator's protocol, mapped to the gateway's terms. */
 final class WireVocabulary {
-  /** Separates the fields of a line; the first field is the line's word. */
+  /** Separates the fields of a line; the first field is the keyword. */
   static final String FIELD_SEPARATOR = " ";
 
   /** Separates the values of a field that holds several. */
   static final String LIST_SEPARATOR = ",";
 
-  /** Stands for an absent value: 0, or an empty list. */
+  /** Placeholder for an absent value, which is read as 0 or as an empty list. */
   static final String ABSENT = "-";
 
   // Framing of batches.
 
-  /** Begins a batch and carries its time. */
+  /** Begins a batch and specifies its time. */
   static final String BATCH_BEGIN = "mark";
 
-  /** Ends a batch; the adapter replies to it. */
+  /** Ends a batch; the adapter then writes its reply. */
   static final String BATCH_END = "commit";
 
   /** Ends the reply to a batch. */
@@ -35,10 +35,10 @@
   /** Ends a gateway instance. */
   static final String INSTANCE_STOPPED = "retire";
 
-  /** An update of the endpoint list; its endpoints follow, one a line. */
+  /** An update of the endpoint list; its endpoints follow, one per line. */
   static final String ENDPOINTS_UPDATED = "view";
 
-  /** An endpoint of the update that precedes it. */
+  /** An endpoint of the preceding update. */
   static final String ENDPOINT = "entry";
 
   /** A request arrived. */
@@ -50,7 +50,7 @@
   /** A client disconnected. */
   static final String CLIENT_DISCONNECTED = "client_gone";
 
-  /** A response began to stream. */
+  /** The response to a request has started. */
   static final String RESPONSE_STARTED = "under_way";
 
   /** A call to the quota counter ended. */
@@ -62,7 +62,7 @@
   /** A timer fired. */
   static final String TIMER_FIRED = "reminder";
 
-  /** A note of the simulator, which the adapter ignores. */
+  /** A note by the simulator; the adapter ignores its text. */
   static final String IGNORED_NOTE = "memo";
 
   // Actions, to the simulator.
@@ -79,7 +79,7 @@
   /** Starts a health check. */
   static final String START_HEALTH_CHECK = "inspect";
 
-  /** Adds to a counter of the quota service. */
+  /** Adds units to a counter of the quota service. */
   static final String ADD_TO_COUNTER = "enter";
 
   /** Schedules a timer. */
@@ -88,15 +88,15 @@
   /** Subscribes to the endpoint list, or cancels the subscription. */
   static final String SUBSCRIBE = "subscribe";
 
-  /** The field of {@link #SUBSCRIBE} that requests the subscription. */
+  /** Value of the field of {@link #SUBSCRIBE} that requests a subscription. */
   static final int SUBSCRIBE_ON = 1;
 
-  /** Writes a line for operators. */
+  /** Writes a log line for operators. */
   static final String LOG = "record";
 
   // Codes within events.
 
-  /** How an attempt, a health check or a counter call ended. */
+  /** Outcomes of attempts, health checks and counter calls. */
   static final Map<String, Outcome> OUTCOMES =
       Map.of(
           "S", Outcome.OK,
@@ -108,7 +108,7 @@
           "X", Outcome.CANCELLED,
           "N", Outcome.NOT_SENT);
 
-  /** What an update of the endpoint list holds. */
+  /** Types of updates of the endpoint list. */
   static final Map<Integer, EndpointUpdateType> UPDATE_TYPES =
       Map.of(
           0, EndpointUpdateType.FULL,
@@ -116,11 +116,11 @@
           2, EndpointUpdateType.DELTA,
           3, EndpointUpdateType.FAILED);
 
-  /** The state of an endpoint. */
+  /** States of endpoints. */
   static final Map<Integer, EndpointState> ENDPOINT_STATES =
       Map.of(0, EndpointState.REMOVED, 1, EndpointState.READY, 2, EndpointState.DRAINING);
 
-  /** Set in the flags of a request that its client marked as a retry. */
+  /** Flag of a request that its client marked as a retry. */
   static final long REQUEST_FLAG_RETRY = 2;
 
   private WireVocabulary() {}
--- a/src/main/java/merlinrouter/simulator/WireWriter.java
+++ b/src/main/java/merlinrouter/simulator/WireWriter.java
@@ -17,12 +17,12 @@
     this.out = out;
   }
 
-  /** The actions of one gateway instance. */
+  /** Returns actions that are added to the reply as lines of one gateway instance. */
   GatewayActions actionsOf(int instance) {
     return new InstanceActions(instance);
   }
 
-  /** Ends the reply to a batch and sends it. */
+  /** Completes the reply to a batch and writes it out. */
   void flush() throws IOException {
     reply.append(WireVocabulary.REPLY_END).append('\n');
     out.append(reply);
@@ -30,7 +30,7 @@
     reply.setLength(0);
   }
 
-  /** Adds a line to the reply: the action's word, the instance, then the action's fields. */
+  /** Adds a line to the reply: the action's keyword, the instance and the action's fields. */
   private void writeLine(String action, int instance, Object... fields) {
     reply.append(action).append(WireVocabulary.FIELD_SEPARATOR).append(instance);
     for (Object field : fields) {
@@ -39,7 +39,7 @@
     reply.append('\n');
   }
 
-  /** A number without an exponent, and without a fraction where it is a whole one. */
+  /** Formats a number without an exponent, and without a fraction if it is an integer. */
   private static String decimal(double value) {
     if (value == Math.rint(value)) {
       return Long.toString((long) value);
--- a/src/main/java/merlinrouter/simulator/package-info.java
+++ b/src/main/java/merlinrouter/simulator/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The host of gateways in the simulator: a line protocol over standard input and output.
+ * Hosts gateways for the simulator through a line protocol over standard input and output.
  *
- * <p>The simulator sends batches of events, one event a line, each addressed to a gateway instance
- * by its number; the adapter answers each batch with the actions that the gateways requested.
- * {@link merlinrouter.simulator.WireVocabulary} maps the protocol's words to the terms of {@link
- * merlinrouter.gateway}, and {@link merlinrouter.simulator.EventParser} the fields of its lines.
- * All times on the wire are nanoseconds.
+ * <p>The simulator sends batches of events, one event per line, each addressed to a gateway
+ * instance by its number; the adapter replies to each batch with the actions that the gateways
+ * requested. {@link merlinrouter.simulator.WireVocabulary} maps the protocol's keywords to the
+ * terms of {@link merlinrouter.gateway}; {@link merlinrouter.simulator.EventParser} maps the fields
+ * of its lines. All times in the protocol are in nanoseconds.
  */
 package merlinrouter.simulator;
