--- a/src/test/java/merlinrouter/ArchitectureTest.java
+++ b/src/test/java/merlinrouter/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 
-/** Dependencies between packages point one way: hosts to decisions, decisions to their model. */
+/** Checks that packages depend in one direction: from hosts to decisions to their model. */
 @AnalyzeClasses(packages = "merlinrouter", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
   @ArchTest
@@ -25,7 +25,7 @@
   }
 
   @ArchTest
-  void theSimulatorAdapterDoesNotDependOnTheNode(JavaClasses classes) {
+  void simulatorAdapterDoesNotDependOnTheNode(JavaClasses classes) {
     noClasses()
         .that()
         .resideInAPackage("merlinrouter.simulator..")
@@ -36,12 +36,12 @@
   }
 
   @ArchTest
-  void decisionModulesAreFreeOfCycles(JavaClasses classes) {
+  void packagesAreFreeOfCycles(JavaClasses classes) {
     slices().matching("merlinrouter.(*)..").should().beFreeOfCycles().check(classes);
   }
 
   @ArchTest
-  void modulesDoNotDependOnTheGatewayThatAsksThem(JavaClasses classes) {
+  void decisionModulesDoNotDependOnTheGateway(JavaClasses classes) {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -62,7 +62,7 @@
     slices().matching("merlinrouter.node.(*)..").should().beFreeOfCycles().check(classes);
   }
 
-  /** The warm-up and the life cycle of the process run nodes, so they stand above the node. */
+  /** The warm-up and the life cycle of the process run nodes, so they may depend on the node. */
   @ArchTest
   void packagesOfTheNodeDoNotDependOnItsHost(JavaClasses classes) {
     noClasses()
--- a/src/test/java/merlinrouter/DeployFileTest.java
+++ b/src/test/java/merlinrouter/DeployFileTest.java
@@ -14,17 +14,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file names the files of the decisions, each one, as the bench wants them. */
+/** Checks that the deploy file lists every decision file by its own path, as the bench requires. */
 class DeployFileTest {
   private static final Path SOURCES = Path.of("src/main/java/merlinrouter");
 
-  /** Packages that hold no decisions. */
+  /** Packages that contain no decisions. */
   private static final Set<String> OTHER_PACKAGES = Set.of("node", "settings", "simulator");
 
   private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
 
   @Test
-  void policyListsEachFileOfTheDecisions() throws IOException {
+  void policyListsEachDecisionFile() throws IOException {
     assertEquals(decisionFiles(), new TreeSet<>(paths("policy")));
   }
 
@@ -47,11 +47,11 @@
     }
   }
 
-  /** The strings of a key's list, which may stand on several lines. */
+  /** Returns the strings of a key's list, which may span several lines. */
   private static List<String> paths(String key) throws IOException {
     String text = Files.readString(Path.of("deploy/balancer.toml"));
     int start = text.indexOf("\n" + key + " = [");
-    assertFalse(start < 0, key + " is missing");
+    assertFalse(start < 0, key + " has no list in deploy/balancer.toml");
     String list = text.substring(start, text.indexOf(']', start));
     return QUOTED.matcher(list).results().map(match -> match.group(1)).toList();
   }
--- a/src/test/java/merlinrouter/DocumentationTest.java
+++ b/src/test/java/merlinrouter/DocumentationTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The pages name tests and files that exist. */
+/** Checks that tests and files that the documentation refers to exist. */
 class DocumentationTest {
   private static final List<Path> TEST_SOURCES =
       List.of(Path.of("src/test/java"), Path.of("emulator/src/test/java"));
@@ -30,7 +30,7 @@
   void raceConditionsPageNamesExistingTests() throws IOException {
     Map<String, String> sourcesByClass = testSources();
     List<MatchResult> names = matches(TEST_NAME, "docs/race-conditions.md");
-    assertFalse(names.isEmpty(), "no test is named");
+    assertFalse(names.isEmpty(), "docs/race-conditions.md names no test");
     List<String> missing = new ArrayList<>();
     for (MatchResult name : names) {
       String source = sourcesByClass.get(name.group(1));
@@ -49,7 +49,7 @@
             .map(link -> link.group(1))
             .filter(target -> !URL_SCHEME.matcher(target).matches())
             .toList();
-    assertFalse(targets.isEmpty(), "no link is found");
+    assertFalse(targets.isEmpty(), "README.md has no relative link");
     assertEquals(
         List.of(), targets.stream().filter(target -> !Files.exists(Path.of(target))).toList());
   }
--- a/src/test/java/merlinrouter/loadbalancing/EndpointRegistryTest.java
+++ b/src/test/java/merlinrouter/loadbalancing/EndpointRegistryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How updates of the endpoint list are applied. */
+/** Tests how updates of the endpoint list are applied. */
 class EndpointRegistryTest {
   private final EventClock clock = new EventClock(PER_SECOND);
   private final EndpointRegistry registry = new EndpointRegistry(new GroupStatistics(), clock);
@@ -37,7 +37,7 @@
 
   @ParameterizedTest
   @CsvSource({"FULL, b", "CACHED, b", "DELTA, a b", "FAILED, a b"})
-  void onlyWholeListsRemoveWhatTheyDoNotName(EndpointUpdateType type, String expectedIds) {
+  void onlyWholeListsRemoveUnlistedEndpoints(EndpointUpdateType type, String expectedIds) {
     update(EndpointUpdateType.FULL, ready("a"), ready("b"));
     update(type, type == EndpointUpdateType.FAILED ? new Endpoint[0] : new Endpoint[] {ready("b")});
     assertEquals(List.of(expectedIds.split(" ")), readyIds());
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aChangedEntryKeepsItsMeasurementsButARestartedEndpointStartsAnew() {
+  void changedEntryKeepsItsStatisticsAndRestartedEndpointDoesNot() {
     update(EndpointUpdateType.FULL, ready("a"));
     EndpointTracker tracker = registry.get("a");
     update(EndpointUpdateType.DELTA, endpoint("a", EndpointState.DRAINING, 0));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aRemovedEndpointIsDroppedAtAnUpdateThirtySecondsLater() {
+  void removedEndpointIsDroppedByAnUpdateAfterThirtySeconds() {
     update(EndpointUpdateType.FULL, ready("a"), ready("b"));
     update(EndpointUpdateType.FULL, ready("b"));
     assertEquals(2, registry.size());
--- a/src/test/java/merlinrouter/loadbalancing/EndpointTrackerTest.java
+++ b/src/test/java/merlinrouter/loadbalancing/EndpointTrackerTest.java
@@ -14,7 +14,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** What attempts say of an endpoint. */
+/** Tests an endpoint's statistics, outlier status and retention. */
 class EndpointTrackerTest {
   private static final double EXPECTED_SECONDS = 0.1;
   private static final int ENDPOINT_COUNT = 100;
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aFailedConnectMakesAnOutlierAtOnceAndSuccessesEndThat() {
+  void failedConnectMakesAnOutlierImmediatelyAndFourSuccessesEndIt() {
     assertTrue(observe(Outcome.CONNECT_FAILED, PER_MILLI));
     assertTrue(tracker.isOutlier());
     for (int i = 0; i < 3; i++) {
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void oneErrorMakesNoOutlierButTwoDo() {
+  void twoErrorsMakeAnOutlierAndOneDoesNot() {
     assertFalse(observe(Outcome.ERROR, PER_MILLI));
     assertTrue(observe(Outcome.ERROR, PER_MILLI));
   }
@@ -57,13 +57,13 @@
   }
 
   @Test
-  void aFastFailureCountsAsASlowResponse() {
+  void fastFailureCountsAsThreeTimesTheExpectedTime() {
     observe(Outcome.ERROR, PER_MILLI);
     assertEquals(1 + 0.12 * (3 - 1), tracker.relativeLatency(), 1e-9);
   }
 
   @Test
-  void observationsDecayTowardTheGroup() {
+  void errorRateDecaysTowardTheMeanOfItsZone() {
     observe(Outcome.ERROR, PER_MILLI);
     assertEquals(0.4, tracker.errorRate(), 1e-9);
     clock.advanceTo(61 * PER_SECOND);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aRemovedEndpointIsKeptForThirtySecondsAndWhileAnAttemptIsInFlight() {
+  void removedEndpointIsKeptForThirtySecondsAndWhileAnAttemptIsInFlight() {
     BalancedRequest request = new TestRequest();
     tracker.attemptStarted(request);
     tracker.markRemoved();
--- a/src/test/java/merlinrouter/loadbalancing/LoadReportsTest.java
+++ b/src/test/java/merlinrouter/loadbalancing/LoadReportsTest.java
@@ -11,7 +11,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** What load reports say of an endpoint's latency. */
+/** Tests the effect of load reports on an endpoint's latency. */
 class LoadReportsTest {
   private final EventClock clock = new EventClock(100 * PER_SECOND);
   private final LoadReports reports = new LoadReports(List.of("waiting", "version"));
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void aBusyEndpointCountsAsSlowerThanAnIdleOne() {
+  void busyEndpointCountsAsSlowerThanAnIdleOne() {
     reports.record(tracker, List.of(4.0, 0.0));
     reports.record(other, List.of(0.0, 0.0));
     assertTrue(reports.latencyFactor(tracker) > 1);
@@ -32,26 +32,26 @@
   }
 
   @Test
-  void anEndpointThatReportsNothingIsTakenToBeBusy() {
+  void endpointWithoutReportedLoadIsAssumedToBeBusy() {
     reports.record(tracker, List.of());
     assertTrue(reports.latencyFactor(tracker) > 1);
   }
 
   @Test
-  void valuesThatDoNotTellLoadAreIgnored() {
+  void valuesOtherThanLoadsAreIgnored() {
     reports.record(tracker, List.of(0.0, 1000.0));
     assertEquals(1, reports.latencyFactor(tracker));
   }
 
   @Test
-  void aReportLosesItsMeaningWithTime() {
+  void effectOfAReportDecays() {
     reports.record(tracker, List.of(4.0));
     clock.advanceTo(130 * PER_SECOND);
     assertEquals(1, reports.latencyFactor(tracker), 1e-9);
   }
 
   @Test
-  void endpointsWithoutNamedValuesReportNothing() {
+  void loadReportsAreDisabledWithoutNamedValues() {
     assertTrue(reports.areEnabled());
     assertFalse(new LoadReports(List.of()).areEnabled());
   }
--- a/src/test/java/merlinrouter/loadbalancing/SlowStartTest.java
+++ b/src/test/java/merlinrouter/loadbalancing/SlowStartTest.java
@@ -16,7 +16,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** What one gateway sends to endpoints that are warming up. */
+/** Tests how much work one gateway forwards to endpoints that are warming up. */
 class SlowStartTest {
   private static final long START_NANOS = 100 * PER_SECOND;
   private static final double EXPECTED_SECONDS = 0.1;
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void capacityRisesFromTheInitialFractionToTheWhole() {
+  void capacityRisesFromTheInitialFractionToFullCapacity() {
     assertEquals(0.25, slowStart.capacityFraction(cold.endpoint()));
     clock.advanceTo(START_NANOS + 5 * PER_SECOND);
     assertEquals(0.625, slowStart.capacityFraction(cold.endpoint()));
@@ -51,16 +51,16 @@
   }
 
   @Test
-  void anEndpointWarmsUpForTheSlowStartDuration() {
+  void endpointWarmsUpForTheSlowStartDuration() {
     assertTrue(slowStart.isWarmingUp(cold));
-    assertFalse(slowStart.isWarmingUp(warm), "started long ago");
+    assertFalse(slowStart.isWarmingUp(warm), "an endpoint without a start time has warmed up");
     clock.advanceTo(START_NANOS + 10 * PER_SECOND - 1);
     assertTrue(slowStart.isWarmingUp(cold));
     clock.advanceTo(START_NANOS + 10 * PER_SECOND);
     assertFalse(slowStart.isWarmingUp(cold));
   }
 
-  /** Checks the cold endpoints ten times a second while they warm up. */
+  /** Counts the permitted requests in ten decisions per second on each cold endpoint. */
   private int permittedRequests(List<EndpointTracker> coldTrackers, List<EndpointTracker> ready) {
     int permitted = 0;
     for (int step = 0; step < 100; step++) {
@@ -80,20 +80,20 @@
   }
 
   @Test
-  void aColdEndpointGetsItsFractionOfWhatAWarmOneGets() {
+  void coldEndpointReceivesItsFractionOfTheRateOfAWarmOne() {
     for (int step = 600; step > 0; step--) {
       clock.advanceTo(START_NANOS - step * 100 * PER_MILLI);
       forwardedWork.record(EXPECTED_SECONDS);
     }
     clock.advanceTo(START_NANOS);
-    // The warm endpoint gets ten requests a second; the mean fraction over the time is 5/8.
+    // The warm endpoint receives 10 requests per second; the mean fraction over 10 s is 5/8.
     assertEquals(20 * 62.5, permittedRequests(coldTrackers(20), List.of(warm)), 150);
   }
 
   @Test
-  void withoutAWarmEndpointEachColdOneGetsOneRequestAtATimeFromTheFleet() {
+  void withoutWarmEndpointsEachColdOneReceivesOneRequestAtATimeFromTheFleet() {
     List<EndpointTracker> trackers = coldTrackers(200);
-    // One of ten gateways gives one request a second, times the fraction, for ten seconds.
+    // One of 10 gateways forwards 1 request per second, times the mean fraction 5/8, for 10 s.
     assertEquals(200 * 6.25, permittedRequests(trackers, trackers), 150);
   }
 }
--- a/src/test/java/merlinrouter/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/merlinrouter/simulator/SimulatorAdapterTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The adapter as a process: framing, absent values, and errors for malformed input. */
+/** Tests the adapter as a process: framing, absent values, and errors for malformed input. */
 class SimulatorAdapterTest {
   private static final long EXIT_TIMEOUT_SECONDS = 60;
 
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void hostsAnInstanceUntilItIsStopped() throws Exception {
+  void instanceHandlesEventsUntilItIsStopped() throws Exception {
     String start =
         "start 3 9 classes.count=1 classes.0.aim-ns=500000000"
             + " classes.0.deadline-ns=900000000 classes.0.idempotency=retryable classes.0.worth=1"
@@ -60,10 +60,10 @@
 
   @Test
   void malformedInputEndsTheProcessAndNamesTheLine() throws Exception {
-    for (String bad :
+    for (String malformed :
         new String[] {"hello\n", "mark x\n", "mark 5\nnonsense 1\n", "mark 5\nreminder one 2\n"}) {
-      ProcessResult result = simulate(bad);
-      assertEquals(1, result.exitStatus, bad);
+      ProcessResult result = simulate(malformed);
+      assertEquals(1, result.exitStatus, malformed);
       assertTrue(result.err.startsWith("line "), result.err);
     }
   }
