--- a/src/main/java/merlinrouter/model/AttemptResult.java
+++ b/src/main/java/merlinrouter/model/AttemptResult.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * The end of an attempt.
+ * The result of an attempt that has ended.
  *
- * @param requestId the request that was attempted
+ * @param requestId id of the request
  * @param outcome how the attempt ended
- * @param durationNanos time since it was started
- * @param endpointId the endpoint that it went to
- * @param requestComplete whether the client is owed nothing more
+ * @param durationNanos time from its start to its end
+ * @param endpointId the endpoint that it was sent to
+ * @param requestComplete whether the request has ended, so that the gateway neither retries it nor
+ *     sends a final response
  * @param attempt number of the attempt, from 0
- * @param actualUnits the units that replace the request's estimate; 0 if not known
+ * @param actualUnits the units consumed, which replace the request's estimate; 0 if not known
  * @param loadReport the endpoint's load report; empty if there is none
  */
 public record AttemptResult(
--- a/src/main/java/merlinrouter/model/ClientRequest.java
+++ b/src/main/java/merlinrouter/model/ClientRequest.java
@@ -1,16 +1,16 @@
 package merlinrouter.model;
 
 /**
- * A request as it arrives from a client.
+ * A request received from a client.
  *
- * @param id identifies the request; at most one request with an id is open at a time
+ * @param id identifies the request; no two open requests have the same id
  * @param classIndex index of its request class in the settings
  * @param planIndex index of its customer's quota plan in the settings
  * @param customer number of its customer
- * @param deadlineNanos the moment by which the final response is due, by the gateway's clock; a
- *     node sets it earlier than the client's own deadline
- * @param units what it takes from the quota; may be an estimate
- * @param gatewaySpread how many gateways this customer's requests come through
+ * @param deadlineNanos time by which the final response is due, by the gateway's clock; a node sets
+ *     it earlier than the client's own deadline
+ * @param units units that it consumes from the quota; may be an estimate
+ * @param gatewaySpread how many gateways receive this customer's requests
  * @param firstGateway number of the first of these gateways; not used
  * @param retry whether the client marked it as a retry of an earlier request
  */
--- a/src/main/java/merlinrouter/model/DeduplicationScope.java
+++ b/src/main/java/merlinrouter/model/DeduplicationScope.java
@@ -1,6 +1,9 @@
 package merlinrouter.model;
 
-/** The endpoints that drop duplicates of a request with an idempotency key. */
+/**
+ * Which endpoints drop duplicates of a request with an idempotency key, once it may have been
+ * executed.
+ */
 public enum DeduplicationScope {
   /** Every endpoint. */
   ALL_ENDPOINTS,
@@ -9,12 +12,17 @@
   /** The endpoints in the cell of the first attempt that may have been executed. */
   CELL;
 
-  /** Whether every endpoint is in the scope, whichever came first. */
+  /** Returns whether the scope includes every endpoint, whichever one was first. */
   public boolean coversAllEndpoints() {
     return this == ALL_ENDPOINTS;
   }
 
-  /** Whether an endpoint drops duplicates of what another one may have executed first. */
+  /**
+   * Returns whether an endpoint drops duplicates of a request that another one may have executed.
+   *
+   * @param first endpoint of the first attempt that may have been executed
+   * @param other endpoint that a duplicate would be sent to
+   */
   public boolean contains(Endpoint first, Endpoint other) {
     return switch (this) {
       case ALL_ENDPOINTS -> true;
--- a/src/main/java/merlinrouter/model/EndpointState.java
+++ b/src/main/java/merlinrouter/model/EndpointState.java
@@ -1,11 +1,11 @@
 package merlinrouter.model;
 
-/** What discovery says of an endpoint. */
+/** The state of an endpoint according to discovery. */
 public enum EndpointState {
   /** Removed from the endpoint list. */
   REMOVED,
-  /** Takes new requests. */
+  /** Accepts new requests. */
   READY,
-  /** Finishes what it has and takes nothing new. */
+  /** Completes its requests in flight and accepts no new ones. */
   DRAINING
 }
--- a/src/main/java/merlinrouter/model/EndpointUpdateType.java
+++ b/src/main/java/merlinrouter/model/EndpointUpdateType.java
@@ -1,17 +1,17 @@
 package merlinrouter.model;
 
-/** What an update of the endpoint list holds. */
+/** The kind of an update of the endpoint list. */
 public enum EndpointUpdateType {
-  /** The whole list: what it does not name is removed. */
+  /** The whole list: endpoints that it does not contain are removed. */
   FULL,
-  /** The whole list as saved before this start; it may be out of date. */
+  /** The whole list as saved before the gateway started; it may be out of date. */
   CACHED,
   /** Changed entries only. */
   DELTA,
-  /** Nothing: a subscription to the list failed, and the known list stands. */
+  /** No entries: a subscription to the list failed; the known list remains in use. */
   FAILED;
 
-  /** Whether endpoints that the update does not name are removed. */
+  /** Returns whether endpoints that the update does not contain are removed. */
   public boolean isWholeList() {
     return this == FULL || this == CACHED;
   }
--- a/src/main/java/merlinrouter/model/Outcome.java
+++ b/src/main/java/merlinrouter/model/Outcome.java
@@ -2,19 +2,19 @@
 
 /** How an attempt, a health check or a call to the quota counter ended. */
 public enum Outcome {
-  /** Served, or counted. */
+  /** The request was served, or the counter was updated. */
   OK(false),
-  /** Answered with an error; the request may have been executed. */
+  /** An error response was received; the request may have been executed. */
   ERROR(false),
-  /** Rejected before it was executed. */
+  /** Rejected without being executed. */
   REJECTED(true),
-  /** No response in time; it may have been executed or counted. */
+  /** No response within the timeout; the request may have been executed or counted. */
   TIMEOUT(false),
-  /** No connection in time. */
+  /** No connection was established within the timeout. */
   CONNECT_FAILED(true),
   /** The connection broke; the request may have been executed. */
   RESET(false),
-  /** Cancelled by the gateway; it may have been executed. */
+  /** Cancelled by the gateway; the request may have been executed. */
   CANCELLED(false),
   /** Never sent by the host. */
   NOT_SENT(true);
@@ -25,7 +25,7 @@
     this.notExecuted = notExecuted;
   }
 
-  /** Whether this outcome proves that the attempt had no effect. */
+  /** Returns whether this outcome proves that the request was not executed. */
   public boolean provesNotExecuted() {
     return notExecuted;
   }
--- a/src/main/java/merlinrouter/model/package-info.java
+++ b/src/main/java/merlinrouter/model/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Values of the contract between a gateway's decisions and its host: endpoints, requests, attempts
- * and their outcomes.
+ * Value types exchanged between a gateway, which makes the decisions, and its host: endpoints,
+ * requests, attempts and their outcomes.
  *
- * <p>All moments are nanoseconds of one monotonic clock with an arbitrary origin; all durations are
- * nanoseconds.
+ * <p>Unless stated otherwise, times are nanoseconds of one monotonic clock with an arbitrary
+ * origin. All durations are nanoseconds.
  */
 package merlinrouter.model;
--- a/src/main/java/merlinrouter/time/EventClock.java
+++ b/src/main/java/merlinrouter/time/EventClock.java
@@ -1,34 +1,34 @@
 package merlinrouter.time;
 
 /**
- * The monotonic time of the event that is being handled. It stands still while an event is handled,
- * so that all decisions of an event see the same time.
+ * The monotonic time of the event that is being handled. It does not change while an event is
+ * handled, so that all decisions made for the event use the same time.
  */
 public final class EventClock {
   private long nowNanos;
 
-  /** Creates a clock that shows a moment, in nanoseconds from an arbitrary origin. */
+  /** Creates a clock set to a time, in nanoseconds from an arbitrary origin. */
   public EventClock(long nowNanos) {
     this.nowNanos = nowNanos;
   }
 
-  /** Moves the clock to the moment of the next event. */
+  /** Sets the clock to the time of the next event. */
   public void advanceTo(long eventNanos) {
     nowNanos = eventNanos;
   }
 
-  /** Returns the moment of the event that is being handled. */
+  /** Returns the time of the event that is being handled. */
   public long nowNanos() {
     return nowNanos;
   }
 
-  /** Returns the nanoseconds that have passed since a moment. */
-  public long nanosSince(long momentNanos) {
-    return nowNanos - momentNanos;
+  /** Returns the nanoseconds from a time to the current event; negative if it is later. */
+  public long nanosSince(long timeNanos) {
+    return nowNanos - timeNanos;
   }
 
-  /** Returns the seconds that have passed since a moment. */
-  public double secondsSince(long momentNanos) {
-    return Nanos.toSeconds(nowNanos - momentNanos);
+  /** Returns the seconds from a time to the current event; negative if it is later. */
+  public double secondsSince(long timeNanos) {
+    return Nanos.toSeconds(nowNanos - timeNanos);
   }
 }
--- a/src/main/java/merlinrouter/time/Nanos.java
+++ b/src/main/java/merlinrouter/time/Nanos.java
@@ -1,6 +1,6 @@
 package merlinrouter.time;
 
-/** Durations in nanoseconds. */
+/** Constants and conversions for durations in nanoseconds. */
 public final class Nanos {
   /** Nanoseconds in a millisecond. */
   public static final long PER_MILLI = 1_000_000L;
@@ -8,12 +8,12 @@
   /** Nanoseconds in a second. */
   public static final long PER_SECOND = 1_000 * PER_MILLI;
 
-  /** Seconds in a nanosecond. */
+  /** One nanosecond in seconds; converts nanoseconds to seconds by multiplication. */
   public static final double IN_SECONDS = 1e-9;
 
   private Nanos() {}
 
-  /** Converts a duration to seconds. */
+  /** Converts a duration in nanoseconds to seconds. */
   public static double toSeconds(long nanos) {
     return nanos * IN_SECONDS;
   }
