--- a/src/main/java/merlinrouter/settings/CounterSettings.java
+++ b/src/main/java/merlinrouter/settings/CounterSettings.java
@@ -1,12 +1,12 @@
 package merlinrouter.settings;
 
 /**
- * The shared quota counter.
+ * Settings of the shared quota counter, and of the units that requests consume.
  *
- * @param present whether there is one
- * @param timeoutNanos a call without an answer after this time has timed out
- * @param reportsActualUnits whether responses report the units that a request really used
- * @param maxRequestUnits the largest request, in units
+ * @param present whether the deployment has a counter
+ * @param timeoutNanos time after which a call to the counter times out
+ * @param reportsActualUnits whether endpoints' responses report the units that a request consumed
+ * @param maxRequestUnits maximum number of units of a request
  */
 public record CounterSettings(
     boolean present, long timeoutNanos, boolean reportsActualUnits, double maxRequestUnits) {}
--- a/src/main/java/merlinrouter/settings/InvalidSettingException.java
+++ b/src/main/java/merlinrouter/settings/InvalidSettingException.java
@@ -1,6 +1,9 @@
 package merlinrouter.settings;
 
-/** A setting has a value that cannot be used; the message starts with its key. */
+/**
+ * Thrown if settings cannot be read. The message starts with the key of the invalid value, or with
+ * the word that is not a key-value pair.
+ */
 public final class InvalidSettingException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/merlinrouter/settings/QuotaPlan.java
+++ b/src/main/java/merlinrouter/settings/QuotaPlan.java
@@ -1,17 +1,19 @@
 package merlinrouter.settings;
 
 /**
- * A plan of customers. Its limits hold for each customer over all gateways together.
+ * Limits and prices that apply to the customers of a plan. Each limit applies to one customer,
+ * summed over all gateways.
  *
  * @param unitsPerSecond refill rate of the quota; 0 for no quota
  * @param burstUnits capacity of the quota's token bucket
- * @param maxConcurrentRequests most requests in flight; 0 for no limit
- * @param valueFactor factor on the value of a request
- * @param overQuotaValue part of the value that a request beyond the quota earns
- * @param overQuotaCost part of the value that forwarding a request beyond the quota costs
+ * @param maxConcurrentRequests maximum number of requests in flight; 0 for no limit
+ * @param valueFactor factor applied to the value of a request
+ * @param overQuotaValue fraction of its value that a request over quota earns
+ * @param overQuotaCost fraction of its value that forwarding a request over quota costs
  * @param hardLimitUnitsPerSecond refill rate of the hard limit; 0 for no hard limit
  * @param hardLimitBurstUnits capacity of the hard limit's token bucket
- * @param hardLimitOverdraftUnits how far below zero that bucket may fall; read, not used
+ * @param hardLimitOverdraftUnits how far the hard limit's bucket may fall below zero; read, not
+ *     used
  */
 public record QuotaPlan(
     double unitsPerSecond,
--- a/src/main/java/merlinrouter/settings/RequestLimits.java
+++ b/src/main/java/merlinrouter/settings/RequestLimits.java
@@ -1,13 +1,13 @@
 package merlinrouter.settings;
 
 /**
- * What the deployment allows.
+ * Limits and capabilities of the deployment.
  *
- * @param maxAttempts most attempts of one request
- * @param maxOpenRequests most requests that a gateway may hold; read, not enforced
- * @param healthChecks whether endpoints may be checked actively
+ * @param maxAttempts maximum number of attempts per request
+ * @param maxOpenRequests maximum number of open requests per gateway; read, not enforced
+ * @param healthChecks whether active health checks of endpoints are allowed
  * @param retryAfter whether clients honour Retry-After; read, not used: it is always sent
- * @param maxRetryAfterNanos the longest such time that clients honour
+ * @param maxRetryAfterNanos the longest Retry-After time that clients honour
  * @param endpointSubscription whether updates of the endpoint list must be subscribed to
  * @param connectTimeoutNanos how long an attempt may wait for its connection
  */
--- a/src/main/java/merlinrouter/settings/ServiceRules.java
+++ b/src/main/java/merlinrouter/settings/ServiceRules.java
@@ -1,15 +1,18 @@
 package merlinrouter.settings;
 
 /**
- * Limits that the service is judged by.
+ * Rules by which the service is evaluated: when a response is late, and how much load an endpoint
+ * can take.
  *
- * @param responseSlackNanos how long after its deadline a final response still counts; read, not
- *     used
- * @param slowStartInitialFraction part of its capacity that an endpoint has when it starts, 0 to 1
- * @param slowStartDurationNanos time after which it has its full capacity
- * @param overloadFactor an endpoint that gets more than this many times its present capacity
- * @param overloadWindowNanos for this long becomes overloaded; both are read, not used: slow start
- *     keeps every gateway far below
+ * @param responseSlackNanos how long after the deadline a final response still counts as in time;
+ *     read, not used
+ * @param slowStartInitialFraction fraction of its capacity that an endpoint has when it starts, 0
+ *     to 1
+ * @param slowStartDurationNanos time from its start after which an endpoint has its full capacity
+ * @param overloadFactor load that overloads an endpoint, as a multiple of its current capacity;
+ *     read, not used: slow start keeps the load of every gateway far below it
+ * @param overloadWindowNanos how long the load must exceed {@code overloadFactor} to overload an
+ *     endpoint; read, not used
  */
 public record ServiceRules(
     long responseSlackNanos,
--- a/src/main/java/merlinrouter/settings/SettingKeys.java
+++ b/src/main/java/merlinrouter/settings/SettingKeys.java
@@ -3,20 +3,21 @@
 import java.util.Set;
 
 /**
- * The settings' own key names and values, mapped to the terms of this program. The names belong to
- * the file format and do not change; {@code docs/glossary.md} lists them beside the terms.
+ * Key names and values of the settings' external format, as constants named in the terms of this
+ * program. The external names are fixed by the format; {@code docs/glossary.md} lists them with the
+ * corresponding terms.
  */
 public final class SettingKeys {
   /** Number of this gateway, from 0. */
   public static final String GATEWAY_NUMBER = "my-number";
 
-  /** How many gateways the fleet has. */
+  /** Number of gateways in the fleet. */
   public static final String GATEWAY_COUNT = "siblings";
 
   /** Index of this gateway's zone. */
   public static final String ZONE = "my-zone";
 
-  /** Events are delivered at most this often. */
+  /** Minimum interval at which events are delivered. */
   public static final String EVENT_INTERVAL_NANOS = "tick-ns";
 
   /** Names of all zones. */
@@ -28,7 +29,7 @@
   /** How the endpoint list is obtained. */
   public static final String DISCOVERY = "discovery";
 
-  /** Longest time in which an attempt's connection is established. */
+  /** Maximum time for establishing the connection of an attempt. */
   public static final String CONNECT_TIMEOUT_NANOS = "caps.connect-timeout-ns";
 
   /** Time after which an endpoint closes an idle connection. */
@@ -43,34 +44,34 @@
   /** Name of a request class or quota plan. */
   public static final String NAME = "name";
 
-  /** Most attempts of one request. */
+  /** Maximum number of attempts per request. */
   public static final String MAX_ATTEMPTS = "caps.max-attempts";
 
-  /** Most requests that a gateway may hold. */
+  /** Maximum number of open requests per gateway. */
   public static final String MAX_OPEN_REQUESTS = "caps.max-open";
 
   /** Time after which a call to the counter times out. */
   public static final String COUNTER_TIMEOUT_NANOS = "domain.count-wait-ns";
 
-  /** How long after its deadline a final response still counts. */
+  /** How long after the deadline a final response still counts as in time. */
   public static final String RESPONSE_SLACK_NANOS = "rules.answer-slack-ns";
 
-  /** Part of its capacity that an endpoint has when it starts. */
+  /** Fraction of its capacity that an endpoint has when it starts. */
   public static final String SLOW_START_INITIAL_FRACTION = "rules.cold-from";
 
-  /** Time after which an endpoint has its full capacity. */
+  /** Time from its start after which an endpoint has its full capacity. */
   public static final String SLOW_START_DURATION_NANOS = "rules.ramp-time-ns";
 
-  /** Multiple of its present capacity that overloads an endpoint. */
+  /** Load that overloads an endpoint, as a multiple of its current capacity. */
   public static final String OVERLOAD_FACTOR = "rules.overload-factor";
 
-  /** How long that multiple has to last. */
+  /** How long the load must exceed {@link #OVERLOAD_FACTOR} to overload an endpoint. */
   public static final String OVERLOAD_WINDOW_NANOS = "rules.tip-after-ns";
 
   /** A request class: time within which a response earns the full value. */
   public static final String LATENCY_OBJECTIVE_NANOS = "aim-ns";
 
-  /** A request class: how long a client waits. */
+  /** A request class: how long a client waits for the final response. */
   public static final String DEADLINE_NANOS = "deadline-ns";
 
   /** A request class: whether a request may be executed more than once. */
@@ -85,13 +86,13 @@
   /** A quota plan: capacity of the quota's token bucket. */
   public static final String BURST_UNITS = "peak-units";
 
-  /** A quota plan: factor on the value of a request. */
+  /** A quota plan: factor applied to the value of a request. */
   public static final String VALUE_FACTOR = "price";
 
-  /** A quota plan: part of the value earned beyond the quota. */
+  /** A quota plan: fraction of its value that a request over quota earns. */
   public static final String OVER_QUOTA_VALUE = "beyond-earns";
 
-  /** A quota plan: part of the value that forwarding beyond the quota costs. */
+  /** A quota plan: fraction of its value that forwarding a request over quota costs. */
   public static final String OVER_QUOTA_COST = "beyond-costs";
 
   /** Value of {@link #IDEMPOTENCY}: may be executed any number of times. */
@@ -103,10 +104,10 @@
   /** Value of {@link #IDEMPOTENCY}: must never be executed twice. */
   public static final String NON_IDEMPOTENT = "fragile";
 
-  /** Names of the values in a load report that say how busy an endpoint is. */
+  /** Names of the values in a load report that measure the load of an endpoint. */
   public static final Set<String> LOAD_VALUES = Set.of("waiting", "active", "cpu");
 
-  /** Suffix of a list: how many items it has. */
+  /** Suffix of a list's key: the number of its items. */
   public static final String COUNT = ".count";
 
   static final String WEIGHTS = "weights";
--- a/src/main/java/merlinrouter/settings/SettingsReader.java
+++ b/src/main/java/merlinrouter/settings/SettingsReader.java
@@ -9,8 +9,8 @@
 import merlinrouter.model.Idempotency;
 
 /**
- * Turns key-value pairs into {@link GatewaySettings}; unknown keys are ignored. The simulator's
- * adapter and the real edge node share it, so that both read the same names in the same way.
+ * Converts key-value pairs to {@link GatewaySettings}; unknown keys are ignored. Both the
+ * simulator's adapter and the edge node use this class, so that they interpret keys identically.
  */
 public final class SettingsReader {
   private static final String OFF = "off";
@@ -23,18 +23,19 @@
   }
 
   /**
-   * Reads the pairs that stand in the words of a line.
+   * Reads settings from the words of a line.
    *
    * @param words words of the form {@code key=value}
    * @param from index of the first word to read
-   * @throws InvalidSettingException if a word is no pair or a number cannot be read
+   * @throws InvalidSettingException if a word is not a key-value pair or a value is not a number
+   *     where one is required
    */
   public static GatewaySettings read(String[] words, int from) {
     Map<String, String> values = new HashMap<>();
     for (int i = from; i < words.length; i++) {
       int equals = words[i].indexOf('=');
       if (equals < 1) {
-        throw new InvalidSettingException("'" + words[i] + "' is not path=value");
+        throw new InvalidSettingException("'" + words[i] + "' is not of the form key=value");
       }
       values.put(words[i].substring(0, equals), words[i].substring(equals + 1));
     }
@@ -42,10 +43,10 @@
   }
 
   /**
-   * Reads settings. A list of objects has its length under {@code <list>.count} and its items under
-   * {@code <list>.<index>}; plain values of a list are joined by commas.
+   * Reads settings. A list of objects has its length under {@code <list>.count} and the keys of its
+   * items under {@code <list>.<index>.}; a list of plain values is one value, separated by commas.
    *
-   * @throws InvalidSettingException if a number cannot be read
+   * @throws InvalidSettingException if a value is not a number where one is required
    */
   public static GatewaySettings read(Map<String, String> values) {
     return new SettingsReader(values).settings();
@@ -75,7 +76,7 @@
     return List.of(names.split(","));
   }
 
-  /** Reads the items of a list of objects, each from the prefix of its keys. */
+  /** Reads a list of objects; {@code itemReader} reads an item, given the prefix of its keys. */
   private <T> List<T> list(String key, Function<String, T> itemReader) {
     List<T> items = new ArrayList<>();
     long count = integer(key + SettingKeys.COUNT);
@@ -173,7 +174,7 @@
     try {
       return Double.parseDouble(value);
     } catch (NumberFormatException e) {
-      throw new InvalidSettingException(key + " is not a number");
+      throw new InvalidSettingException(key + " is not a number: " + value);
     }
   }
 }
--- a/src/main/java/merlinrouter/settings/package-info.java
+++ b/src/main/java/merlinrouter/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Immutable settings of a gateway, and the one place that maps the names of the settings' keys to
- * the terms of this program.
+ * Immutable settings of a gateway, and the only place that maps the external key names of the
+ * settings to the terms of this program.
  */
 package merlinrouter.settings;
