--- a/src/main/java/merlinrouter/retry/DeadlinePolicy.java
+++ b/src/main/java/merlinrouter/retry/DeadlinePolicy.java
@@ -6,13 +6,17 @@
 import merlinrouter.time.Nanos;
 
 /**
- * The time limits of a request: when it is too late to be sent, and how long an attempt may take.
+ * Time limits of a request: when it is too late for a first attempt, and how long an attempt may
+ * take.
  */
 public final class DeadlinePolicy {
-  /** An attempt is given this many times its expected service time. */
+  /** Time reserved for a first attempt, as a multiple of its expected service time. */
   private static final double SERVICE_TIME_MARGIN = 1.5;
 
-  /** Two, since a request that expires right after a check is seen at the next but one at worst. */
+  /**
+   * Two, since a request that expires right after a check is, in the worst case, detected only at
+   * the second check after it.
+   */
   private static final int TIMER_INTERVALS_NEEDED = 2;
 
   private static final long MIN_ATTEMPT_TIMEOUT_NANOS = Nanos.PER_MILLI;
@@ -23,8 +27,8 @@
   /**
    * Creates a policy.
    *
-   * @param timerIntervalNanos how often queued requests are looked at; a request that expires
-   *     between two checks has to be answered at the first
+   * @param timerIntervalNanos interval between checks of the queued requests; a request that would
+   *     expire between two checks must get its final response at the first of them
    */
   public DeadlinePolicy(GatewaySettings settings, EventClock clock, long timerIntervalNanos) {
     this.clock = clock;
@@ -32,17 +36,20 @@
   }
 
   /**
-   * Whether a request that has not been attempted cannot be served within its latency objective.
+   * Returns whether it is too late for a first attempt to meet the request's latency objective.
    *
-   * @param objectiveAtNanos moment up to which a response earns the full value
-   * @param expectedServiceSeconds expected service time of its attempt
+   * @param objectiveAtNanos time until which a response earns the full value
+   * @param expectedServiceSeconds expected service time of the attempt
    */
   public boolean cannotMeetObjective(long objectiveAtNanos, double expectedServiceSeconds) {
     long serviceNanos = (long) (SERVICE_TIME_MARGIN * expectedServiceSeconds * Nanos.PER_SECOND);
     return clock.nowNanos() + Math.max(serviceNanos, minNeededNanos) >= objectiveAtNanos;
   }
 
-  /** How long an attempt may take: no longer than a response has any value. */
+  /**
+   * Returns the timeout of an attempt that starts now: the time for which a response still earns
+   * any value, but at least 1 ms.
+   */
   public long attemptTimeoutNanos(
       RequestClass requestClass, long objectiveAtNanos, long deadlineNanos) {
     boolean lateIsWorthless = requestClass.lateValueFraction() <= 0;
--- a/src/main/java/merlinrouter/retry/ExecutionHistory.java
+++ b/src/main/java/merlinrouter/retry/ExecutionHistory.java
@@ -5,10 +5,11 @@
 import merlinrouter.settings.RequestClass;
 
 /**
- * Whether a request may have been executed, since when, and on which endpoint first.
+ * Records whether a request may have been executed, and the start and endpoint of the first attempt
+ * that may have executed it.
  *
- * <p>Endpoints drop duplicates of a request with an idempotency key in a scope and for a time that
- * begin with the first attempt that may have been executed.
+ * <p>Endpoints drop duplicates of a request with an idempotency key within a scope that this first
+ * attempt determines, and within a window that begins at its start.
  */
 public final class ExecutionHistory {
   private boolean possiblyExecuted;
@@ -19,7 +20,7 @@
    * Records an attempt that may have been executed; only the first one counts.
    *
    * @param startedAtNanos when it was started
-   * @param endpoint where it went
+   * @param endpoint the endpoint that it was sent to
    */
   public void recordPossibleExecution(long startedAtNanos, Endpoint endpoint) {
     if (!possiblyExecuted) {
@@ -29,24 +30,27 @@
     }
   }
 
-  /** Whether an attempt may have been executed. */
+  /** Returns whether any attempt may have been executed. */
   public boolean isPossiblyExecuted() {
     return possiblyExecuted;
   }
 
-  /** When the first attempt that may have been executed was started. */
+  /** Returns the start of the first attempt that may have been executed. */
   long firstExecutionNanos() {
     return firstExecutionNanos;
   }
 
-  /** Whether another attempt may go only where duplicates of the first one are dropped. */
+  /** Returns whether retries may only use endpoints that drop duplicates of the first attempt. */
   public boolean isBoundToScope(RequestClass requestClass) {
     return possiblyExecuted
         && requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
         && !requestClass.deduplicationScope().coversAllEndpoints();
   }
 
-  /** Whether an endpoint drops duplicates of the first attempt that may have been executed. */
+  /**
+   * Returns whether an endpoint drops duplicates of the first attempt that may have been executed;
+   * there must have been one.
+   */
   public boolean isInScope(RequestClass requestClass, Endpoint endpoint) {
     return requestClass.deduplicationScope().contains(firstEndpoint, endpoint);
   }
--- a/src/main/java/merlinrouter/retry/RetryAfter.java
+++ b/src/main/java/merlinrouter/retry/RetryAfter.java
@@ -4,18 +4,21 @@
 import merlinrouter.time.Nanos;
 
 /**
- * The time after which a rejected client should retry. It is sent whether or not the settings
- * promise that clients honour it, since one that does not is no worse off.
+ * Computes the time after which a rejected client should retry. The time is sent even if the
+ * settings do not state that clients honour it, since a client that ignores it is no worse off.
  */
 public final class RetryAfter {
   private final long maxNanos;
 
-  /** Creates the rule for the longest time that clients honour. */
+  /** Creates a rule with the longest time that clients honour, from the settings. */
   public RetryAfter(RequestLimits limits) {
     maxNanos = limits.maxRetryAfterNanos();
   }
 
-  /** Converts a wait in seconds to nanoseconds, bounded by what clients honour; 0 for no advice. */
+  /**
+   * Converts a wait to nanoseconds, limited to the longest time that clients honour; 0 for no
+   * advice.
+   */
   public long nanos(double seconds) {
     return (long) Math.max(0, Math.min(maxNanos, seconds * Nanos.PER_SECOND));
   }
--- a/src/main/java/merlinrouter/retry/RetryBudget.java
+++ b/src/main/java/merlinrouter/retry/RetryBudget.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits retries to a fraction of the first attempts, so that retries cannot multiply the load of a
- * failing fleet. A retry of an attempt that was surely not executed is free.
+ * failing fleet. A retry is free if the last attempt was provably not executed.
  */
 public final class RetryBudget {
   private static final double RETRIES_PER_FIRST_ATTEMPT = 0.2;
@@ -12,17 +12,17 @@
 
   private double tokens = MAX_SAVED_RETRIES;
 
-  /** Earns a fraction of a retry by a first attempt. */
+  /** Adds a fraction of a retry to the budget for a first attempt that was started. */
   public void firstAttemptStarted() {
     tokens = Math.min(MAX_SAVED_RETRIES, tokens + RETRIES_PER_FIRST_ATTEMPT);
   }
 
-  /** Whether a retry after an attempt with some outcome can be paid for. */
+  /** Returns whether the budget covers a retry after an attempt with the given outcome. */
   boolean permits(Outcome lastOutcome) {
     return tokens >= cost(lastOutcome);
   }
 
-  /** Pays for a retry after an attempt with some outcome. */
+  /** Charges the budget for a retry after an attempt with the given outcome. */
   public void retryStarted(Outcome lastOutcome) {
     tokens -= cost(lastOutcome);
   }
--- a/src/main/java/merlinrouter/retry/RetryPolicy.java
+++ b/src/main/java/merlinrouter/retry/RetryPolicy.java
@@ -8,7 +8,7 @@
 
 /** Decides whether a request may be attempted again. */
 public final class RetryPolicy {
-  /** A retry needs this fraction of the mean service time to be left to the objective. */
+  /** Least time that a retry needs before the objective, as a fraction of the mean service time. */
   private static final double MIN_TIME_LEFT_PER_SERVICE = 1.0 / 2;
 
   private final RequestLimits limits;
@@ -19,26 +19,30 @@
   /**
    * Creates a policy.
    *
-   * @param actionDelayNanos most time that a host takes between an event and the attempt it causes
+   * @param actionDelayNanos maximum delay of a host between an event and the start of the attempt
+   *     that it causes
    */
   public RetryPolicy(
       RequestLimits limits, RetryBudget budget, EventClock clock, long actionDelayNanos) {
     this.limits = limits;
     this.budget = budget;
     this.clock = clock;
-    // A retry reaches its endpoint when the connection is up, at the latest after this time.
+    // A retry is sent once its connection is established, at the latest after this delay.
     maxDelayToEndpointNanos = limits.connectTimeoutNanos() + actionDelayNanos;
   }
 
-  /** Whether a request may be attempted again. */
+  /** Returns whether a request may be attempted again. */
   public boolean mayRetry(RetryCandidate candidate) {
     return candidate.attempts() < limits.maxAttempts()
         && isSafeToRepeat(candidate.requestClass(), candidate.history())
-        && isInTime(candidate.objectiveAtNanos(), candidate.meanServiceSeconds())
+        && hasTimeLeft(candidate.objectiveAtNanos(), candidate.meanServiceSeconds())
         && budget.permits(candidate.lastOutcome());
   }
 
-  /** Whether one more execution does no harm: there was none, or it is idempotent. */
+  /**
+   * Returns whether another attempt is harmless: the request was not executed, may be executed
+   * again, or is still within its deduplication window.
+   */
   private boolean isSafeToRepeat(RequestClass requestClass, ExecutionHistory history) {
     if (!history.isPossiblyExecuted()) {
       return true;
@@ -56,14 +60,15 @@
     return latestAgeNanos < requestClass.deduplicationWindowNanos();
   }
 
-  private boolean isInTime(long objectiveAtNanos, double meanServiceSeconds) {
+  private boolean hasTimeLeft(long objectiveAtNanos, double meanServiceSeconds) {
     long neededNanos = (long) (meanServiceSeconds * Nanos.PER_SECOND * MIN_TIME_LEFT_PER_SERVICE);
     return clock.nowNanos() + neededNanos < objectiveAtNanos;
   }
 
   /**
-   * Whether a retry by the client of a request that was not served would be harmless: it was never
-   * executed, or may be executed again.
+   * Returns whether a retry by the client is harmless for a request that was not served: it was
+   * never executed, is idempotent, or has an idempotency key by which every endpoint drops
+   * duplicates. The deduplication window is not checked.
    */
   public static boolean isClientRetryHarmless(RequestClass requestClass, ExecutionHistory history) {
     return !history.isPossiblyExecuted()
--- a/src/main/java/merlinrouter/stats/AttemptSample.java
+++ b/src/main/java/merlinrouter/stats/AttemptSample.java
@@ -3,14 +3,14 @@
 import merlinrouter.model.Outcome;
 
 /**
- * What one attempt showed.
+ * Measurements of one attempt that has ended.
  *
  * @param outcome how it ended
- * @param serviceSeconds from its start to its end
- * @param units the units that its request asked for
+ * @param serviceSeconds time from the attempt's start to its end
+ * @param units the units of its request, possibly estimated
  * @param valueFactor the value factor of its customer's plan
- * @param latencySeconds from the arrival of its request to its end
- * @param queueingSeconds from the arrival of its request to its start
+ * @param latencySeconds time from the arrival of its request to the attempt's end
+ * @param queueingSeconds time from the arrival of its request to the attempt's start
  */
 public record AttemptSample(
     Outcome outcome,
--- a/src/main/java/merlinrouter/stats/ClassStatistics.java
+++ b/src/main/java/merlinrouter/stats/ClassStatistics.java
@@ -9,14 +9,14 @@
 import merlinrouter.time.Nanos;
 
 /**
- * Measurements of one request class: moving averages over its attempts, and sums over the present
- * control interval.
+ * Statistics of one request class: moving averages over its successful attempts, sums over the
+ * current control interval, and samples of service times.
  */
 public final class ClassStatistics {
   /** Weight of a new sample in the moving averages. */
   private static final double SAMPLE_WEIGHT = 0.02;
 
-  /** Before the first response, service is assumed to take this fraction of the objective. */
+  /** Initial mean service time, as a fraction of the latency objective. */
   private static final double INITIAL_SERVICE_PER_OBJECTIVE = 1.0 / 8;
 
   /** Bounds on a request's expected service time, relative to the mean of its class. */
@@ -24,14 +24,14 @@
 
   private static final double MAX_RELATIVE_SERVICE = 3;
 
-  /** A failed attempt counts as this many times the latency objective. */
+  /** Least service time sampled for a failed attempt, as a multiple of the latency objective. */
   private static final double FAILURE_PER_OBJECTIVE = 2;
 
   private static final double MIN_MEAN_UNITS = 1e-9;
 
   /**
-   * Outcomes that say nothing of load. A broken connection must not count as a slow response, which
-   * would lower the concurrency level for all other work.
+   * Outcomes that do not indicate load; they add no sample. A broken connection must not count as a
+   * slow response, which would lower the concurrency level for all other requests.
    */
   private static final Set<Outcome> UNRELATED_TO_LOAD =
       EnumSet.of(Outcome.RESET, Outcome.CANCELLED, Outcome.NOT_SENT);
@@ -53,22 +53,22 @@
         Nanos.toSeconds(requestClass.latencyObjectiveNanos()) * INITIAL_SERVICE_PER_OBJECTIVE;
   }
 
-  /** The class that is measured. */
+  /** Returns the request class that the statistics are about. */
   public RequestClass requestClass() {
     return requestClass;
   }
 
-  /** Counts a request that arrived. */
+  /** Counts a request that has arrived. */
   public void recordArrival() {
     arrivals++;
   }
 
-  /** Adds an attempt that ended. */
+  /** Records an attempt that has ended. */
   public void recordAttempt(AttemptSample sample) {
     if (sample.outcome() == Outcome.OK) {
       recordSuccess(sample);
     } else if (!UNRELATED_TO_LOAD.contains(sample.outcome())) {
-      // A fast failure must not look like a fast response, which would raise the concurrency level.
+      // A fast failure must not count as a fast response, which would raise the concurrency level.
       serviceSamples.add(
           Math.max(sample.serviceSeconds(), FAILURE_PER_OBJECTIVE * objectiveSeconds()));
     }
@@ -84,7 +84,7 @@
     serviceSamples.add(sample.serviceSeconds());
   }
 
-  /** Starts the next control interval. */
+  /** Starts the next control interval: resets its sums, but not the averages and samples. */
   public void startInterval() {
     arrivals = 0;
     successes = 0;
@@ -92,56 +92,64 @@
     queueingSumSeconds = 0;
   }
 
-  /** Expected service time of a request, in seconds, in proportion to its units within bounds. */
+  /**
+   * Returns the expected service time of a request in seconds: proportional to its units, within
+   * bounds.
+   */
   public double expectedServiceSeconds(double units) {
     double relative = units / Math.max(MIN_MEAN_UNITS, meanUnits);
     return meanServiceSeconds
         * Math.max(MIN_RELATIVE_SERVICE, Math.min(MAX_RELATIVE_SERVICE, relative));
   }
 
-  /** The latency objective in seconds. */
+  /** Returns the latency objective in seconds. */
   public double objectiveSeconds() {
     return Nanos.toSeconds(requestClass.latencyObjectiveNanos());
   }
 
-  /** Moving average of the service time of successful attempts, in seconds. */
+  /** Returns the moving average of the service time of successful attempts, in seconds. */
   public double meanServiceSeconds() {
     return meanServiceSeconds;
   }
 
-  /** Moving average of the value factor of a request's plan times its units. */
+  /** Returns the moving average of value factor times units over successful attempts. */
   public double meanPlanValue() {
     return meanPlanValue;
   }
 
-  /** Requests that arrived in the present interval. */
+  /** Returns the number of requests that have arrived in the current interval. */
   public int arrivals() {
     return arrivals;
   }
 
-  /** Attempts that succeeded in the present interval. */
+  /** Returns the number of attempts that have succeeded in the current interval. */
   public int successes() {
     return successes;
   }
 
-  /** Sum of the latencies of successful attempts in the present interval, in seconds. */
+  /**
+   * Returns the sum of the latencies of successful attempts in the current interval, in seconds.
+   */
   public double latencySumSeconds() {
     return latencySumSeconds;
   }
 
-  /** Sum of the times that successful attempts had been queued, in seconds. */
+  /**
+   * Returns the sum of the queueing times of successful attempts in the current interval, in
+   * seconds.
+   */
   public double queueingSumSeconds() {
     return queueingSumSeconds;
   }
 
-  /** How many service times were sampled since they were last cleared. */
+  /** Returns the number of service times sampled since they were last cleared. */
   public int serviceSampleCount() {
     return serviceSamples.size();
   }
 
   /**
-   * A quantile of the sampled service times, in seconds; failures count as slow. The samples may
-   * have been collected over several intervals.
+   * Returns a quantile of the sampled service times, in seconds; failures count as slow responses.
+   * The samples may span several intervals; there must be at least one.
    *
    * @param quantile from 0 for the shortest to 1 for the longest
    */
@@ -150,7 +158,7 @@
     return sorted[(int) (quantile * (sorted.length - 1))];
   }
 
-  /** Drops the sampled service times. */
+  /** Discards the sampled service times. */
   public void clearServiceSamples() {
     serviceSamples.clear();
   }
--- a/src/main/java/merlinrouter/stats/package-info.java
+++ b/src/main/java/merlinrouter/stats/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of request classes that the decision modules share. */
+/** Statistics of request classes, shared by the decision modules. */
 package merlinrouter.stats;
