--- a/src/main/java/merlinrouter/control/ConcurrencyController.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyController.java
@@ -7,32 +7,37 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * Sets the concurrency level: how many attempts may be in flight at once. The level follows the
- * slow responses of the class with the tightest latency objective, below a limit that grows with
- * the number of endpoints. A level below 1 means that the gateway pauses between attempts.
+ * Sets the concurrency level: how many attempts may be in flight at the same time. The level is
+ * controlled by the 0.9 quantile of the service times of the class with the tightest latency
+ * objective, up to a limit in proportion to the number of endpoints. At a level below 1 the gateway
+ * pauses between attempts.
  */
 public final class ConcurrencyController {
-  /** Attempts in flight for each ready endpoint, over all gateways together. */
+  /** Limit on attempts in flight per ready endpoint, summed over all gateways. */
   private static final double MAX_IN_FLIGHT_PER_ENDPOINT = 6;
 
-  /** The least limit, in attempts. */
+  /** Lower bound on the limit, in attempts. */
   private static final double MIN_LIMIT = 0.25;
 
-  /** The least level, as a fraction of the limit. */
+  /** Lower bound on the level, as a fraction of the limit. */
   private static final double MIN_RELATIVE_LEVEL = 0.25;
 
-  /** Penalty on changes of the level; above that of the shares, since this loop is the slower. */
+  /** Penalty on changes of the level; higher than for shares, because this is the slower loop. */
   private static final double CHANGE_PENALTY = 0.7;
 
-  /** Fewer samples have no meaningful upper tenth, so they are collected over more intervals. */
+  /**
+   * Samples needed for a meaningful 0.9 quantile; fewer samples are kept and added to those of the
+   * next interval.
+   */
   private static final int MIN_SAMPLES = 30;
 
-  /** The quantile of the service times that has to meet the objective. */
+  /** The quantile of the service times that must meet the objective. */
   private static final double SLOW_QUANTILE = 0.9;
 
-  /** At least this fraction of the objective is left for service, whatever the queueing time. */
+  /** Least fraction of the objective that is left for service, however long the queueing time. */
   private static final double MIN_OBJECTIVE_LEFT = 1.0 / 4;
 
+  /** Number of observations from which on the fitted gain is used. */
   private static final int MIN_OBSERVATIONS = 3;
 
   private final List<ClassStatistics> classes;
@@ -55,27 +60,30 @@
     this.gatewayCount = gatewayCount;
   }
 
-  /** How many attempts may be in flight; may be below 1. */
+  /** Returns how many attempts may be in flight; may be below 1. */
   public double level() {
     return level;
   }
 
-  /** Records that the level kept work back in this interval. */
+  /** Records that the attempts in flight have reached the level since its last adjustment. */
   public void markSaturated() {
     saturated = true;
   }
 
-  /** Adapts the limit to the number of ready endpoints. */
+  /**
+   * Adapts the limit to the number of ready endpoints. The level is set to the new limit if it was
+   * at the old one or the model has no observations yet; otherwise it is only lowered to the limit.
+   */
   public void endpointCountChanged(int readyEndpoints) {
     double previousLimit = limit;
-    double ownLimit =
+    double exactLimit =
         Math.max(MIN_LIMIT, MAX_IN_FLIGHT_PER_ENDPOINT * readyEndpoints / gatewayCount);
-    limit = roundAboveOne(ownLimit);
+    limit = roundAboveOne(exactLimit);
     boolean atLimit = model.updates() == 0 || level >= previousLimit;
     level = atLimit ? limit : Math.min(level, limit);
   }
 
-  /** Ends a control interval: sets the level where there are samples enough. */
+  /** Ends a control interval: adjusts the level if there are enough samples. */
   public void update() {
     ClassStatistics tightest = tightestClass();
     if (tightest != null) {
@@ -114,7 +122,7 @@
     double next =
         saturated
             ? nextRelativeLevel(tightest, inverseLatency, relativeLevel)
-            // A level that kept nothing back says nothing: it returns to the limit.
+            // An unsaturated level has no effect on latency: it moves halfway to the limit.
             : (relativeLevel + 1) / 2;
     previousInverseLatency = inverseLatency;
     saturated = false;
@@ -122,7 +130,10 @@
     level = roundAboveOne(next * limit);
   }
 
-  /** Fits the model on changes: a level that did not vary says nothing of its effect. */
+  /**
+   * Fits the model to changes, from one update to the next, of the inverse latency and the level. A
+   * level that was not reached or did not change gives no observation of its effect.
+   */
   private void observe(double inverseLatency, double relativeLevel) {
     boolean changed = relativeLevel != previousRelativeLevel;
     if (previousInverseLatency > 0 && saturated && changed) {
@@ -139,9 +150,9 @@
       ClassStatistics tightest, double inverseLatency, double relativeLevel) {
     double objective = tightest.objectiveSeconds();
     double queueing = tightest.queueingSumSeconds() / Math.max(1, tightest.successes());
-    double left = Math.max(objective * MIN_OBJECTIVE_LEFT, objective - queueing);
+    double serviceObjective = Math.max(objective * MIN_OBJECTIVE_LEFT, objective - queueing);
     SimpleMatrix gain = column(levelGain(inverseLatency, relativeLevel));
-    SimpleMatrix reference = column(objective / left);
+    SimpleMatrix reference = column(objective / serviceObjective);
     SimpleMatrix freeResponse = column(inverseLatency - gain.get(0) * relativeLevel);
     return ControlLaw.nextInputs(
             gain, column(1), CHANGE_PENALTY, reference, freeResponse, column(relativeLevel))
@@ -149,8 +160,9 @@
   }
 
   /**
-   * Effect of the level on inverse latency. More attempts in flight must slow responses down; until
-   * the fit has that sign, Little's law gives the slope: latency in proportion to the level.
+   * Returns the effect of the relative level on inverse latency. More attempts in flight must
+   * increase latency, so the gain must be negative. Until the fitted gain is, the gain is derived
+   * from Little's law at constant throughput, by which latency is proportional to the level.
    */
   private double levelGain(double inverseLatency, double relativeLevel) {
     double fitted = model.parameters(1, 2).get(0);
--- a/src/main/java/merlinrouter/control/ConcurrencyLimiter.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyLimiter.java
@@ -3,10 +3,10 @@
 import merlinrouter.time.EventClock;
 
 /**
- * Holds first attempts back while as many attempts are in flight as the concurrency level allows.
- * Retries are counted and not held back: the retry budget bounds them. A level below 1 is kept on
- * average: after an attempt the limiter pauses, since hundreds of gateways with one attempt in
- * flight each may be too many for a small fleet of endpoints.
+ * Delays first attempts while the number of attempts in flight has reached the concurrency level.
+ * Retries are counted but not delayed, because the retry budget limits them. A level below 1 is met
+ * on average, by a pause after each attempt: with hundreds of gateways, one attempt in flight per
+ * gateway may be too many for a small fleet of endpoints.
  */
 public final class ConcurrencyLimiter {
   private final ConcurrencyController controller;
@@ -20,17 +20,17 @@
     this.clock = clock;
   }
 
-  /** Whether another first attempt may start now. */
+  /** Returns whether another first attempt may start now. */
   public boolean permitsFirstAttempt() {
     return inFlight < controller.level() && clock.nowNanos() >= pausedUntilNanos;
   }
 
-  /** Whether as many attempts are in flight as the level allows, or more. */
+  /** Returns whether the number of attempts in flight has reached the concurrency level. */
   public boolean isSaturated() {
     return inFlight >= controller.level();
   }
 
-  /** Counts an attempt that starts. */
+  /** Records the start of an attempt. */
   public void acquire() {
     inFlight++;
     if (isSaturated()) {
@@ -38,10 +38,12 @@
     }
   }
 
-  /** Counts an attempt that ended after some time, in nanoseconds. */
+  /**
+   * Records the end of an attempt; starts a pause in proportion to its duration at levels below 1.
+   */
   public void release(long durationNanos) {
     inFlight--;
-    double pausePerWork = Math.max(0, 1 / controller.level() - 1);
-    pausedUntilNanos = clock.nowNanos() + (long) (durationNanos * pausePerWork);
+    double pausePerDuration = Math.max(0, 1 / controller.level() - 1);
+    pausedUntilNanos = clock.nowNanos() + (long) (durationNanos * pausePerDuration);
   }
 }
--- a/src/main/java/merlinrouter/control/Matrices.java
+++ b/src/main/java/merlinrouter/control/Matrices.java
@@ -2,7 +2,7 @@
 
 import org.ejml.simple.SimpleMatrix;
 
-/** Helpers for small matrices. */
+/** Helpers to create matrices. */
 final class Matrices {
   private Matrices() {}
 
--- a/src/main/java/merlinrouter/control/RecursiveLeastSquares.java
+++ b/src/main/java/merlinrouter/control/RecursiveLeastSquares.java
@@ -4,13 +4,16 @@
 
 /**
  * Recursive least squares with exponential forgetting for the linear model {@code y = theta * phi}.
- * All outputs share one covariance.
+ * All outputs share one covariance matrix.
  */
 final class RecursiveLeastSquares {
-  /** Weight of the past at each update: a memory of about 50 updates. */
+  /** Factor on the weight of past observations at each update: a memory of about 50 updates. */
   private static final double FORGETTING_FACTOR = 0.98;
 
-  /** Bound on the covariance's trace, per input; without it the covariance grows in quiet times. */
+  /**
+   * Bound on the trace of the covariance matrix, per input. Without it, forgetting would let the
+   * covariance grow without limit while the inputs hardly vary.
+   */
   private static final double MAX_TRACE_PER_INPUT = 100;
 
   private static final double INITIAL_COVARIANCE = MAX_TRACE_PER_INPUT / 10;
@@ -19,6 +22,7 @@
   private SimpleMatrix covariance;
   private int updates;
 
+  /** Creates a model whose parameters are all 0. */
   RecursiveLeastSquares(int outputs, int inputs) {
     theta = new SimpleMatrix(outputs, inputs);
     covariance = SimpleMatrix.identity(inputs).scale(INITIAL_COVARIANCE);
@@ -27,8 +31,9 @@
   /**
    * Adds an observation.
    *
-   * @param phi the inputs, a column
-   * @param outputs the observed outputs; an output that is NaN keeps its parameters
+   * @param phi the regressor, a column vector
+   * @param outputs the observed outputs; NaN for an output that was not observed, whose parameters
+   *     are not changed
    */
   void update(SimpleMatrix phi, double... outputs) {
     SimpleMatrix covariancePhi = covariance.mult(phi);
@@ -52,17 +57,17 @@
     }
   }
 
-  /** Returns the outputs that the model expects for inputs, a column. */
+  /** Returns the outputs that the model predicts for a regressor, both column vectors. */
   SimpleMatrix predict(SimpleMatrix phi) {
     return theta.mult(phi);
   }
 
-  /** Returns a copy of the parameters of some inputs: columns {@code from} to {@code to - 1}. */
+  /** Returns a copy of the parameters in columns {@code from} to {@code to - 1} of theta. */
   SimpleMatrix parameters(int from, int to) {
     return theta.cols(from, to).copy();
   }
 
-  /** How many observations were added. */
+  /** Returns the number of observations added. */
   int updates() {
     return updates;
   }
--- a/src/main/java/merlinrouter/control/ShareController.java
+++ b/src/main/java/merlinrouter/control/ShareController.java
@@ -8,27 +8,32 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * Sets the share of each request class in the gateway's throughput. Once an interval it fits a
- * model of throughput and inverse latency to the shares, lets an optimizer find the best outputs
- * that the model can reach, and moves the shares toward them.
+ * Sets the share of each request class in the gateway's throughput. In each control interval it
+ * updates a linear model of throughput and inverse latency as functions of the shares, determines
+ * the best outputs that are reachable according to the model, and adjusts the shares toward them by
+ * the control law.
  *
- * <p>The outputs are, for n classes, n throughputs relative to the gateway's total and n inverse
- * latencies; the model's inputs are the outputs of the interval before and the shares.
+ * <p>For n classes, the outputs are n throughputs, relative to the gateway's mean total throughput,
+ * and n inverse latencies. The model's regressor consists of the outputs of the previous interval
+ * and the shares.
  */
 public final class ShareController {
-  /** The least share of a class, so that none starves. */
+  /** Minimum share of a class before the shares are scaled to sum 1, so that no class starves. */
   public static final double MIN_SHARE = 0.02;
 
-  /** Inverse latency is objective over latency; this value counts as 1, the size of a share. */
+  /**
+   * Ratio of latency objective to mean latency that corresponds to an inverse latency output of 1,
+   * so that outputs and shares have the same magnitude.
+   */
   static final double INVERSE_LATENCY_UNIT = 10;
 
   /** Penalty on changes of the shares. */
   private static final double CHANGE_PENALTY = 0.3;
 
-  /** Weight of an interval in the moving average of the total throughput. */
+  /** Weight of the latest interval in the moving average of the total throughput. */
   private static final double THROUGHPUT_WEIGHT = 0.2;
 
-  /** The model is used after this many observations per class. */
+  /** Number of observations, per class, from which on the model is used. */
   private static final int MIN_OBSERVATIONS_PER_CLASS = 3;
 
   private static final double MIN_LATENCY_SUM_SECONDS = 1e-6;
@@ -54,12 +59,12 @@
     shares = normalize(Arrays.stream(weights).map(weight -> weight / sum).toArray());
   }
 
-  /** The shares by class, which sum to 1. Not to be changed by the caller. */
+  /** Returns the shares by class index, which sum to 1. The caller must not modify the array. */
   public double[] shares() {
     return shares;
   }
 
-  /** Ends a control interval: fits the model and sets the shares. */
+  /** Ends a control interval: updates the model and sets the shares. */
   public void update() {
     int successes = 0;
     for (ClassStatistics each : classes) {
@@ -80,23 +85,26 @@
     }
   }
 
-  /** Writes the outputs of a class; what was not observed is NaN in {@code observed}. */
+  /**
+   * Writes the two outputs of a class. If the class had no successful attempt, they are NaN in
+   * {@code observed}, and the inverse latency in {@code outputs} keeps its previous value.
+   */
   private void observe(int index, double[] outputs, double[] observed) {
     ClassStatistics statistics = classes.get(index);
-    int latency = classCount + index;
-    boolean active = statistics.successes() > 0;
+    int latencyIndex = classCount + index;
+    boolean hasSuccesses = statistics.successes() > 0;
     outputs[index] = statistics.successes() / meanThroughput;
-    if (active) {
-      double inverse =
+    if (hasSuccesses) {
+      double inverseLatency =
           statistics.objectiveSeconds()
               * statistics.successes()
               / Math.max(MIN_LATENCY_SUM_SECONDS, statistics.latencySumSeconds());
-      outputs[latency] = Math.min(1, inverse / INVERSE_LATENCY_UNIT);
+      outputs[latencyIndex] = Math.min(1, inverseLatency / INVERSE_LATENCY_UNIT);
     } else {
-      outputs[latency] = previousOutputs == null ? 0 : previousOutputs[latency];
+      outputs[latencyIndex] = previousOutputs == null ? 0 : previousOutputs[latencyIndex];
     }
-    observed[index] = active ? outputs[index] : Double.NaN;
-    observed[latency] = active ? outputs[latency] : Double.NaN;
+    observed[index] = hasSuccesses ? outputs[index] : Double.NaN;
+    observed[latencyIndex] = hasSuccesses ? outputs[latencyIndex] : Double.NaN;
   }
 
   private SimpleMatrix regressor(double[] outputs, double[] inputs) {
@@ -126,34 +134,40 @@
   }
 
   /**
-   * Replaces the fit of an output by proportion to its class's share: more share must raise
-   * throughput and inverse latency, and a fit of the wrong sign is noise.
+   * Replaces the fitted gains of an output by proportionality to the share of its class: a larger
+   * share must raise throughput and inverse latency, so a fitted gain that is not positive is
+   * noise.
    */
   private void assumeProportional(
       int output, double[] outputs, SimpleMatrix shareGain, SimpleMatrix freeResponse) {
-    int owner = output % classCount;
+    int classIndex = output % classCount;
     for (int j = 0; j < classCount; j++) {
-      shareGain.set(output, j, j == owner ? outputs[output] / shares[owner] : 0);
+      shareGain.set(output, j, j == classIndex ? outputs[output] / shares[classIndex] : 0);
     }
     freeResponse.set(output, 0, 0);
   }
 
-  /** Weighs the outputs by their class's value; what was not observed has no weight. */
+  /**
+   * Returns the weight matrix of the outputs: by the value of their class, and 0 for an output that
+   * was not observed. The control law squares the weights, hence the root.
+   */
   private SimpleMatrix outputWeights(double[] observed) {
-    double maxValue = classes.stream().mapToDouble(ShareController::value).max().orElse(1);
+    double maxValue =
+        classes.stream().mapToDouble(ShareController::valuePerRequest).max().orElse(1);
     SimpleMatrix weights = new SimpleMatrix(2 * classCount, 2 * classCount);
     for (int i = 0; i < 2 * classCount; i++) {
-      double relative = value(classes.get(i % classCount)) / Math.max(MIN_TOTAL_WEIGHT, maxValue);
+      double relative =
+          valuePerRequest(classes.get(i % classCount)) / Math.max(MIN_TOTAL_WEIGHT, maxValue);
       weights.set(i, i, Double.isNaN(observed[i]) ? 0 : Math.sqrt(relative));
     }
     return weights;
   }
 
-  private static double value(ClassStatistics statistics) {
+  private static double valuePerRequest(ClassStatistics statistics) {
     return statistics.requestClass().priorityWeight() * statistics.meanPlanValue();
   }
 
-  /** Clips shares to their range and scales them to sum 1; what is no number gets the least. */
+  /** Clips shares to [MIN_SHARE, 1] and scales them to sum 1; non-finite ones become MIN_SHARE. */
   static double[] normalize(double[] shares) {
     double[] clipped = Arrays.stream(shares).map(ShareController::clip).toArray();
     double sum = Arrays.stream(clipped).sum();
--- a/src/main/java/merlinrouter/control/UtilityOptimizer.java
+++ b/src/main/java/merlinrouter/control/UtilityOptimizer.java
@@ -8,9 +8,9 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * Finds the outputs of the highest value: hands out the shares in small grants, each to the class
- * that gains the most value from it. This is the greedy optimizer of the Proteus paper's figure 4,
- * for one gateway.
+ * Searches for the reachable outputs with the highest total utility: divides the throughput among
+ * the classes in small grants, each to the class with the highest gain in utility per share. This
+ * is the greedy optimizer in figure 4 of the Proteus paper, for one gateway.
  */
 final class UtilityOptimizer {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -22,20 +22,21 @@
   }
 
   /**
-   * Returns the reference outputs, a column.
+   * Returns the reference outputs, a column vector.
    *
-   * @param freeResponse the outputs that the model expects with shares of zero
+   * @param freeResponse the outputs that the model predicts for shares of zero
    * @param shareGain effect of the shares on the outputs
-   * @param meanThroughput throughput of an interval that counts as 1
+   * @param meanThroughput successful attempts per interval that correspond to a total throughput
+   *     output of 1
    */
   SimpleMatrix optimize(SimpleMatrix freeResponse, SimpleMatrix shareGain, double meanThroughput) {
     return new Search(freeResponse, shareGain, meanThroughput).run();
   }
 
-  /** The best grant for one class. */
+  /** A candidate grant for a class; {@code gainPerShare} is its gain in utility per share. */
   private record Grant(int classIndex, double share, double gainPerShare) {}
 
-  /** One search on one model. */
+  /** A search with one model. */
   private final class Search {
     private final SimpleMatrix freeResponse;
     private final SimpleMatrix shareGain;
@@ -48,7 +49,7 @@
       this.freeResponse = freeResponse;
       this.shareGain = shareGain;
       this.meanThroughput = meanThroughput;
-      // A grant smaller than one request of the interval changes nothing.
+      // A grant of less than one request per interval has no effect.
       step = Math.max(ShareController.MIN_SHARE, 1 / Math.max(1, meanThroughput));
       Arrays.fill(utilities, Double.NEGATIVE_INFINITY);
     }
@@ -75,7 +76,10 @@
       return best;
     }
 
-    /** Grows a grant until the class gains from it; one step if it never does. */
+    /**
+     * Returns the smallest grant that raises the utility of a class, in whole steps; one step if no
+     * grant up to the remaining share does.
+     */
     private Grant smallestUsefulGrant(int classIndex, double granted) {
       double share = step;
       while (utility(classIndex, share) <= utilities[classIndex] && granted + share <= 1) {
@@ -88,11 +92,16 @@
       return new Grant(classIndex, share, gain / share);
     }
 
-    /** Value per interval of a class with an additional grant, late responses at their fraction. */
+    /**
+     * Returns the utility of a class with an additional grant: the value of its responses in an
+     * interval. Late responses count with their fraction of the value. Latencies are assumed to be
+     * exponentially distributed, so that {@code 1 - exp(-objective / mean)} of the responses meet
+     * the objective.
+     */
     private double utility(int classIndex, double grant) {
-      double[] tried = shares.clone();
-      tried[classIndex] += grant;
-      SimpleMatrix outputs = freeResponse.plus(shareGain.mult(column(tried)));
+      double[] candidate = shares.clone();
+      candidate[classIndex] += grant;
+      SimpleMatrix outputs = freeResponse.plus(shareGain.mult(column(candidate)));
       ClassStatistics statistics = classes.get(classIndex);
       double served =
           Math.min(Math.max(0, outputs.get(classIndex)) * meanThroughput, statistics.arrivals());
