--- a/src/test/java/merlinrouter/control/ConcurrencyControllerTest.java
+++ b/src/test/java/merlinrouter/control/ConcurrencyControllerTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The concurrency level and its limit. */
+/** Tests the concurrency level and its limit. */
 class ConcurrencyControllerTest {
-  /** Twice the latency objective. */
+  /** Service time of twice the latency objective. */
   private static final double SLOW_SECONDS = 2;
 
   private final ClassStatistics statistics =
@@ -33,7 +33,7 @@
 
   @ParameterizedTest
   @CsvSource({"1, 4, 24", "14, 60, 26", "240, 20, 0.5", "100, 0, 0.25"})
-  void theLimitIsSixAttemptsAnEndpointDividedByTheGateways(
+  void theLimitIsSixAttemptsPerEndpointDividedAmongTheGateways(
       int gatewayCount, int endpoints, double expectedLevel) {
     ConcurrencyController controller = controller(gatewayCount);
     controller.endpointCountChanged(endpoints);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void tooFewSamplesLeaveTheLevelAsItIs() {
+  void tooFewSamplesDoNotChangeTheLevel() {
     ConcurrencyController controller = controller(1);
     controller.endpointCountChanged(4);
     recordAttempts(29, SLOW_SECONDS);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aLevelThatKeepsNothingBackReturnsToTheLimit() {
+  void theLevelOfAnUnsaturatedGatewayReturnsToTheLimit() {
     ConcurrencyController controller = controller(1);
     controller.endpointCountChanged(4);
     recordAttempts(30, SLOW_SECONDS);
--- a/src/test/java/merlinrouter/control/ControlLawTest.java
+++ b/src/test/java/merlinrouter/control/ControlLawTest.java
@@ -7,7 +7,7 @@
 import org.ejml.simple.SimpleMatrix;
 import org.junit.jupiter.api.Test;
 
-/** The control law, and the normalization of the shares that it yields. */
+/** Tests the control law and the normalization of the resulting shares. */
 class ControlLawTest {
   @Test
   void sharesMoveTowardTheReferenceAndSumToOne() {
--- a/src/test/java/merlinrouter/control/RecursiveLeastSquaresTest.java
+++ b/src/test/java/merlinrouter/control/RecursiveLeastSquaresTest.java
@@ -6,7 +6,7 @@
 import org.ejml.simple.SimpleMatrix;
 import org.junit.jupiter.api.Test;
 
-/** The estimator on known linear systems. */
+/** Tests the estimator on known linear systems. */
 class RecursiveLeastSquaresTest {
   @Test
   void recoversAKnownLinearSystem() {
@@ -20,10 +20,10 @@
       SimpleMatrix outputs = new SimpleMatrix(parameters).mult(phi);
       model.update(phi, outputs.get(0), outputs.get(1));
     }
-    SimpleMatrix probe = new SimpleMatrix(3, 1, true, 1, 2, 3);
-    SimpleMatrix truth = new SimpleMatrix(parameters).mult(probe);
-    assertEquals(truth.get(0), model.predict(probe).get(0), 1e-3);
-    assertEquals(truth.get(1), model.predict(probe).get(1), 1e-3);
+    SimpleMatrix unseen = new SimpleMatrix(3, 1, true, 1, 2, 3);
+    SimpleMatrix truth = new SimpleMatrix(parameters).mult(unseen);
+    assertEquals(truth.get(0), model.predict(unseen).get(0), 1e-3);
+    assertEquals(truth.get(1), model.predict(unseen).get(1), 1e-3);
   }
 
   @Test
--- a/src/test/java/merlinrouter/control/ShareControllerTest.java
+++ b/src/test/java/merlinrouter/control/ShareControllerTest.java
@@ -13,7 +13,7 @@
 import merlinrouter.stats.ClassStatistics;
 import org.junit.jupiter.api.Test;
 
-/** The shares of the classes. */
+/** Tests the shares of the classes: initially, under random load, and without responses. */
 class ShareControllerTest {
   private final List<ClassStatistics> classes =
       TestSettings.requestClasses().stream().map(ClassStatistics::new).toList();
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void sharesStayInProportionToPriorityWeightsUntilTheModelIsKnown() {
+  void sharesAreInProportionToPriorityWeightsUntilTheModelIsUsed() {
     double[] byWeight = {1.0 / 12, 4.0 / 12, 3.0 / 12, 4.0 / 12};
     assertArrayEquals(byWeight, controller.shares(), 1e-9);
     runIntervals(12);
@@ -48,12 +48,12 @@
   }
 
   @Test
-  void sharesSumToOneAndLeaveEachClassItsPartWhateverTheLoad() {
+  void sharesSumToOneAndGiveEachClassAMinimumUnderRandomLoad() {
     for (int i = 0; i < 50; i++) {
       runIntervals(2);
       double[] shares = controller.shares();
       assertEquals(1, Arrays.stream(shares).sum(), 1e-9);
-      // Shares are scaled after they are clipped, so the least one may be a little smaller.
+      // Shares are scaled after clipping, so the smallest may be somewhat below MIN_SHARE.
       assertTrue(Arrays.stream(shares).min().orElse(0) > ShareController.MIN_SHARE / 4);
     }
   }
--- a/src/test/java/merlinrouter/retry/DeadlinePolicyTest.java
+++ b/src/test/java/merlinrouter/retry/DeadlinePolicyTest.java
@@ -13,7 +13,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** When it is too late for an attempt, and how long one may take. */
+/** Tests when it is too late for a first attempt, and the timeout of an attempt. */
 class DeadlinePolicyTest {
   private static final long NOW_NANOS = 100 * PER_SECOND;
 
@@ -22,19 +22,19 @@
           TestSettings.gateway(UNLIMITED, 1), new EventClock(NOW_NANOS), 10 * PER_MILLI);
 
   @Test
-  void aFirstAttemptNeedsOneAndAHalfServiceTimes() {
+  void aFirstAttemptNeedsOneAndAHalfTimesItsServiceTime() {
     assertFalse(policy.cannotMeetObjective(NOW_NANOS + 151 * PER_MILLI, 0.1));
     assertTrue(policy.cannotMeetObjective(NOW_NANOS + 149 * PER_MILLI, 0.1));
   }
 
   @Test
-  void everyRequestNeedsTimeForTwoTimersAndAnEvent() {
+  void everyRequestNeedsTwoTimerIntervalsAndAnEventInterval() {
     assertFalse(policy.cannotMeetObjective(NOW_NANOS + 22 * PER_MILLI, 0));
     assertTrue(policy.cannotMeetObjective(NOW_NANOS + 21 * PER_MILLI, 0));
   }
 
   @Test
-  void anAttemptMayTakeAsLongAsAResponseHasValue() {
+  void anAttemptTimesOutWhenItsResponseHasNoValueLeft() {
     long objectiveAtNanos = NOW_NANOS + PER_SECOND;
     long deadlineNanos = NOW_NANOS + 2 * PER_SECOND;
     assertEquals(PER_SECOND, timeoutNanos(IDEMPOTENT, objectiveAtNanos, deadlineNanos));
--- a/src/test/java/merlinrouter/retry/ExecutionHistoryTest.java
+++ b/src/test/java/merlinrouter/retry/ExecutionHistoryTest.java
@@ -14,7 +14,7 @@
 import merlinrouter.settings.TestSettings;
 import org.junit.jupiter.api.Test;
 
-/** What a request's attempts may have done. */
+/** Tests which attempt is recorded, and the deduplication scope that follows from it. */
 class ExecutionHistoryTest {
   private final ExecutionHistory history = new ExecutionHistory();
 
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void theFirstPossibleExecutionCounts() {
+  void onlyTheFirstPossibleExecutionIsRecorded() {
     assertFalse(history.isPossiblyExecuted());
     history.recordPossibleExecution(5, endpoint("a", 0));
     history.recordPossibleExecution(9, endpoint("b", 1));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void onlyARequestWithALocalIdempotencyKeyIsBoundToItsScope() {
+  void onlyARequestWhoseKeyIsLimitedToACellIsBoundToItsScope() {
     assertFalse(history.isBoundToScope(requestClass(KEY_IN_CELL)), "not executed yet");
     history.recordPossibleExecution(5, endpoint("a", 0));
     assertTrue(history.isBoundToScope(requestClass(KEY_IN_CELL)));
--- a/src/test/java/merlinrouter/retry/RetryAfterTest.java
+++ b/src/test/java/merlinrouter/retry/RetryAfterTest.java
@@ -6,10 +6,10 @@
 import merlinrouter.settings.RequestLimits;
 import org.junit.jupiter.api.Test;
 
-/** The wait that a rejected client is told. */
+/** Tests the bounds on the time after which a rejected client should retry. */
 class RetryAfterTest {
   @Test
-  void aWaitIsBoundedByWhatClientsHeed() {
+  void theTimeIsBoundedByTheLongestThatClientsHonour() {
     RetryAfter retryAfter =
         new RetryAfter(new RequestLimits(4, 1000, false, true, 5 * PER_SECOND, false, 0));
     assertEquals(2 * PER_SECOND, retryAfter.nanos(2));
--- a/src/test/java/merlinrouter/retry/RetryBudgetTest.java
+++ b/src/test/java/merlinrouter/retry/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** How many retries a gateway may start. */
+/** Tests how many retries the budget permits. */
 class RetryBudgetTest {
   private final RetryBudget budget = new RetryBudget();
 
--- a/src/test/java/merlinrouter/retry/RetryPolicyTest.java
+++ b/src/test/java/merlinrouter/retry/RetryPolicyTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether a request may be attempted again, and what its final response may promise. */
+/** Tests when a request may be attempted again, and when a retry by its client is harmless. */
 class RetryPolicyTest {
   private static final int MAX_ATTEMPTS = 3;
   private static final RequestLimits LIMITS =
@@ -69,9 +69,9 @@
   }
 
   @Test
-  void aRetryHasToArriveWithinTheDeduplicationWindow() {
+  void aRetryMustReachItsEndpointWithinTheDeduplicationWindow() {
     recordPossibleExecution();
-    // The window of 700 ms has to hold the connect timeout of 30 ms and a delay of 10 ms.
+    // The window of 700 ms must include the connect timeout of 30 ms and the host's delay of 10 ms.
     clock.advanceTo(START_NANOS + 659 * PER_MILLI);
     assertTrue(mayRetry(KEY_IN_CELL, 1, Outcome.ERROR));
     clock.advanceTo(START_NANOS + 660 * PER_MILLI);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void halfAServiceTimeHasToBeLeftBeforeTheObjective() {
+  void aRetryNeedsHalfAServiceTimeBeforeTheObjective() {
     objectiveAtNanos = START_NANOS + 51 * PER_MILLI;
     assertTrue(mayRetry(IDEMPOTENT, 1, Outcome.REJECTED));
     objectiveAtNanos = START_NANOS + 49 * PER_MILLI;
@@ -109,9 +109,9 @@
     NON_IDEMPOTENT + ", false",
     KEY_EVERYWHERE + ", true"
   })
-  void aRequestIsRejectedOnlyIfARetryAnywhereIsHarmless(int classIndex, boolean rejected) {
+  void aClientRetryIsHarmlessOnlyIfItIsHarmlessAtEveryEndpoint(int classIndex, boolean harmless) {
     assertTrue(RetryPolicy.isClientRetryHarmless(requestClass(classIndex), history));
     recordPossibleExecution();
-    assertEquals(rejected, RetryPolicy.isClientRetryHarmless(requestClass(classIndex), history));
+    assertEquals(harmless, RetryPolicy.isClientRetryHarmless(requestClass(classIndex), history));
   }
 }
--- a/src/test/java/merlinrouter/settings/TestSettings.java
+++ b/src/test/java/merlinrouter/settings/TestSettings.java
@@ -7,18 +7,18 @@
 import merlinrouter.model.DeduplicationScope;
 import merlinrouter.model.Idempotency;
 
-/** Settings for tests: one request class for each kind of idempotency, and plans by need. */
+/** Settings for tests: request classes with every kind of idempotency, and a given quota plan. */
 public final class TestSettings {
   /** Index of the class of idempotent requests. */
   public static final int IDEMPOTENT = 0;
 
-  /** Index of the class whose idempotency keys hold in one cell. */
+  /** Index of the class whose duplicates are dropped in the cell of the first attempt only. */
   public static final int KEY_IN_CELL = 1;
 
   /** Index of the class of requests that must not be executed twice. */
   public static final int NON_IDEMPOTENT = 2;
 
-  /** Index of the class whose idempotency keys hold at every endpoint. */
+  /** Index of the class whose duplicates are dropped by every endpoint. */
   public static final int KEY_EVERYWHERE = 3;
 
   /** A plan without any limit. */
@@ -26,17 +26,17 @@
 
   private TestSettings() {}
 
-  /** A plan with a quota, beyond which forwarding a request costs its value. */
+  /** Returns a plan with a quota; a request over quota earns nothing and costs its value. */
   public static QuotaPlan quota(double unitsPerSecond, double burstUnits) {
     return new QuotaPlan(unitsPerSecond, burstUnits, 0, 1, 0, 1, 0, 0, 0);
   }
 
-  /** Settings of the first of some gateways, with a counter and without health checks. */
+  /** Returns settings of the first gateway of a fleet, with a counter, without health checks. */
   public static GatewaySettings gateway(QuotaPlan plan, int gatewayCount) {
     return gateway(plan, gatewayCount, 0, true, false);
   }
 
-  /** Settings of one gateway of a fleet with one plan. */
+  /** Returns settings of a gateway in a fleet with one quota plan. */
   public static GatewaySettings gateway(
       QuotaPlan plan,
       int gatewayCount,
@@ -57,7 +57,7 @@
         new ServiceRules(10 * PER_MILLI, 0.25, 10 * PER_SECOND, 3, 2 * PER_SECOND));
   }
 
-  /** The request classes in the order of their indices. */
+  /** Returns the request classes in the order of their indices. */
   public static List<RequestClass> requestClasses() {
     return List.of(
         requestClass(3, Idempotency.IDEMPOTENT, DeduplicationScope.ALL_ENDPOINTS, 0, 0, 1),
--- a/src/test/java/merlinrouter/stats/ClassStatisticsTest.java
+++ b/src/test/java/merlinrouter/stats/ClassStatisticsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What attempts say of their class. */
+/** Tests how attempts of different outcomes change the statistics of their class. */
 class ClassStatisticsTest {
   private static final double OBJECTIVE_SECONDS = 1;
 
@@ -29,13 +29,13 @@
 
   @ParameterizedTest
   @EnumSource(names = {"RESET", "CANCELLED", "NOT_SENT"})
-  void outcomesThatSayNothingOfLoadAreNoSamples(Outcome outcome) {
+  void outcomesUnrelatedToLoadAddNoSample(Outcome outcome) {
     recordAttempt(outcome, 0.001);
     assertEquals(0, statistics.serviceSampleCount());
   }
 
   @Test
-  void theExpectedServiceTimeFollowsTheUnitsWithinBounds() {
+  void theExpectedServiceTimeIsProportionalToTheUnitsWithinBounds() {
     double mean = OBJECTIVE_SECONDS / 8;
     assertEquals(2 * mean, statistics.expectedServiceSeconds(2), 1e-9);
     assertEquals(3 * mean, statistics.expectedServiceSeconds(100), 1e-9);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aNewIntervalStartsFromZeroAndKeepsTheMeans() {
+  void aNewIntervalResetsTheSumsAndKeepsAveragesAndSamples() {
     statistics.recordArrival();
     recordAttempt(Outcome.OK, 0.2);
     double mean = statistics.meanServiceSeconds();
--- a/src/test/java/merlinrouter/time/FixedIntervalsTest.java
+++ b/src/test/java/merlinrouter/time/FixedIntervalsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When intervals end. */
+/** Tests when intervals end, also after a stall. */
 class FixedIntervalsTest {
   private final FixedIntervals intervals = new FixedIntervals(1_000, 100);
 
@@ -17,7 +17,10 @@
     assertTrue(intervals.hasEnded(1_200));
   }
 
-  /** Else controllers fit their models to intervals of one timer each, nearly without samples. */
+  /**
+   * After a stall, controllers would otherwise fit their models to a series of intervals of a
+   * single timer each, with hardly any samples.
+   */
   @Test
   void intervalsThatAStallHasMissedAreNotMadeUpFor() {
     assertTrue(intervals.hasEnded(1_570));
