--- a/src/main/java/merlinrouter/model/Endpoint.java
+++ b/src/main/java/merlinrouter/model/Endpoint.java
@@ -10,8 +10,9 @@
  * @param cell number of its cell
  * @param machineType index of its machine type, -1 if unknown
  * @param state whether it accepts requests
- * @param startedAtNanos when it started, 0 for long ago: wall-clock time as reported by discovery,
- *     which the node converts to monotonic time before it updates the gateway
+ * @param startedAtNanos when it started, by the gateway's monotonic clock; 0 for long ago. In a
+ *     node, an endpoint as reported by discovery has wall-clock time here, which is converted
+ *     before the gateway is updated
  */
 public record Endpoint(
     String id,
--- a/src/main/java/merlinrouter/model/Idempotency.java
+++ b/src/main/java/merlinrouter/model/Idempotency.java
@@ -4,7 +4,9 @@
 public enum Idempotency {
   /** May be executed any number of times. */
   IDEMPOTENT,
-  /** Carries an idempotency key, by which some endpoints drop duplicates for a limited time. */
+  /**
+   * Carries an idempotency key, by which the endpoints of a scope drop duplicates for some time.
+   */
   IDEMPOTENCY_KEY,
   /** Must never be executed twice. */
   NON_IDEMPOTENT
--- a/src/main/java/merlinrouter/retry/ExecutionHistory.java
+++ b/src/main/java/merlinrouter/retry/ExecutionHistory.java
@@ -40,7 +40,7 @@
     return firstExecutionNanos;
   }
 
-  /** Returns whether retries may only use endpoints that drop duplicates of the first attempt. */
+  /** Returns whether retries are restricted to the endpoints of a zone or cell. */
   public boolean isBoundToScope(RequestClass requestClass) {
     return possiblyExecuted
         && requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
