--- a/src/main/java/merlinrouter/quota/CounterCallPriority.java
+++ b/src/main/java/merlinrouter/quota/CounterCallPriority.java
@@ -11,7 +11,7 @@
   private static final double RETRY_FACTOR = 0.3;
 
   /** A total that probably confirms a rejection changes no decision. */
-  private static final double USED_UP_FACTOR = 0.1;
+  private static final double PROBABLY_EXHAUSTED_FACTOR = 0.1;
 
   private final QuotaPlan plan;
   private final double gatewayFraction;
@@ -31,15 +31,15 @@
   /**
    * The priority for a request.
    *
-   * @param probablyUsedUp whether the estimate says that the quota is used up
+   * @param probablyExhausted whether the estimate says that the quota is used up
    */
-  double of(QuotaReservation reservation, boolean probablyUsedUp) {
+  double of(QuotaReservation reservation, boolean probablyExhausted) {
     return reservation.requestClass().priorityWeight()
         * plan.valueFactor()
         * plan.overQuotaCost()
         * reservation.units()
         * gatewayFraction
         * (reservation.request().retry() ? RETRY_FACTOR : 1)
-        * (probablyUsedUp ? USED_UP_FACTOR : 1);
+        * (probablyExhausted ? PROBABLY_EXHAUSTED_FACTOR : 1);
   }
 }
--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -44,7 +44,7 @@
   private static final double TARGET_TIMEOUT_FRACTION = 0.5;
 
   /** Bound on how strongly a slow call lowers the rate. */
-  private static final double MAX_SLOWDOWN = 2;
+  private static final double MAX_SLOW_DEVIATION = 2;
 
   /** A rejected call counts as one that took its whole timeout. */
   private static final double REJECTED_TIMEOUT_FRACTION = 1;
@@ -120,9 +120,9 @@
         outcome == Outcome.REJECTED
             ? REJECTED_TIMEOUT_FRACTION
             : durationNanos / (double) timeoutNanos;
-    boolean starting = answered && clock.nanosSince(startedAtNanos) < STARTUP_NANOS;
+    boolean inStartup = answered && clock.nanosSince(startedAtNanos) < STARTUP_NANOS;
     boolean slow = timeoutFraction > TARGET_TIMEOUT_FRACTION;
-    if (!starting && (slow || answered && deniedSinceAdjustment)) {
+    if (!inStartup && (slow || answered && deniedSinceAdjustment)) {
       adjust(timeoutFraction, answered);
     }
   }
@@ -130,7 +130,7 @@
   private void adjust(double timeoutFraction, boolean answered) {
     double seconds =
         Nanos.toSeconds(Math.min(MAX_ADJUSTMENT_NANOS, clock.nanosSince(adjustedAtNanos)));
-    double deviation = Math.max(-MAX_SLOWDOWN, 1 - timeoutFraction / TARGET_TIMEOUT_FRACTION);
+    double deviation = Math.max(-MAX_SLOW_DEVIATION, 1 - timeoutFraction / TARGET_TIMEOUT_FRACTION);
     double min =
         answered ? initialCallsPerSecond * MIN_ANSWERED_FRACTION : MIN_UNANSWERED_CALLS_PER_SECOND;
     slowStart &= answered && deviation >= 0;
--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -34,7 +34,7 @@
   private static final double MIN_REPORTED_FRACTION = 0.1;
 
   /** A total below the own use by more than this shows that the counter lost counts. */
-  private static final double ROUNDING_UNITS = 1e-3;
+  private static final double MAX_ROUNDING_ERROR_UNITS = 1e-3;
 
   private final QuotaPlan plan;
   private final int gateways;
@@ -101,7 +101,7 @@
   }
 
   /** Enters the counter's present window and returns its number. */
-  long enterCurrentWindow() {
+  long advanceToCurrentWindow() {
     long current = Math.floorDiv(clock.nowNanos() + windowPhaseNanos, windowNanos);
     if (current != window) {
       ownWindowUnits = 0;
@@ -124,15 +124,14 @@
   /**
    * Corrects the estimate by a total of the present window.
    *
-   * @param reportedNow the units that were reported with the call that returned the total
+   * @param callUnits the units that were reported with the call that returned the total
    * @param total the counter's total, in units
    * @param unreportedUnits own use that has not been reported
    * @param reportedFraction the reported fraction of own use; the others are assumed to report the
    *     same fraction
    */
-  void learnTotal(
-      double reportedNow, double total, double unreportedUnits, double reportedFraction) {
-    double othersTotal = othersTotal(reportedNow, total);
+  void applyTotal(double callUnits, double total, double unreportedUnits, double reportedFraction) {
+    double othersTotal = othersTotal(callUnits, total);
     if (clock.nanosSince(totalAtNanos) > windowNanos) {
       // The estimate is too old: a full quota less this window's use is the better one.
       availableUnits = plan.burstUnits() - ownWindowUnits - unreportedUnits;
@@ -143,7 +142,7 @@
             / Math.min(1, Math.max(MIN_REPORTED_FRACTION, reportedFraction));
     othersWindowUnits = othersTotal;
     divided = false;
-    learnOthersRate(usedByOthers);
+    updateOthersRate(usedByOthers);
     // What was forwarded beyond the quota took nothing from it, so it is not far below zero.
     availableUnits =
         Math.max(
@@ -153,19 +152,19 @@
   }
 
   /** The others' part of a total; after a loss of counts only what has been added since. */
-  private double othersTotal(double reportedNow, double total) {
+  private double othersTotal(double callUnits, double total) {
     double others = total - ownWindowUnits;
     boolean countsLost =
-        others < -ROUNDING_UNITS || others < othersWindowUnits - plan.burstUnits() / 2;
+        others < -MAX_ROUNDING_ERROR_UNITS || others < othersWindowUnits - plan.burstUnits() / 2;
     if (!countsLost) {
       return others;
     }
-    ownWindowUnits = reportedNow;
+    ownWindowUnits = callUnits;
     othersWindowUnits = 0;
-    return Math.max(0, total - reportedNow);
+    return Math.max(0, total - callUnits);
   }
 
-  private void learnOthersRate(double usedByOthers) {
+  private void updateOthersRate(double usedByOthers) {
     long windowStartNanos = window * windowNanos - windowPhaseNanos;
     double seconds =
         Math.max(MIN_RATE_SECONDS, clock.secondsSince(Math.max(totalAtNanos, windowStartNanos)));
--- a/src/main/java/merlinrouter/quota/HardLimitBucket.java
+++ b/src/main/java/merlinrouter/quota/HardLimitBucket.java
@@ -29,7 +29,7 @@
   }
 
   /** Seconds until a request that exceeds the limit would pass. */
-  double secondsUntil(double requested) {
+  double secondsUntilAvailable(double requested) {
     return (requested - units) * gateways / fleetUnitsPerSecond;
   }
 
--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -31,7 +31,7 @@
   private static final double UNITS_PER_MICRO_UNIT = 1e-6;
 
   /** Time for a call to the counter, in its timeouts, that has to be left to the objective. */
-  private static final int CALL_TIMEOUTS_NEEDED = 2;
+  private static final int MIN_CALL_TIMEOUTS_LEFT = 2;
 
   /** Unreported use misleads the others as much as a missing total, but can wait. */
   private static final double REPORT_PRIORITY_FACTOR = 0.5;
@@ -48,12 +48,12 @@
   private final HardLimitBucket hardLimit;
   private long refilledAtNanos;
   private long reportDueAtNanos;
-  private long usedAtNanos;
+  private long lastUsedAtNanos;
   private double unreportedUnits;
   private double reportPriority;
   private int requestsInFlight;
   private int openRequests;
-  private int callsUnderWay;
+  private int callsInFlight;
 
   QuotaAccount(QuotaContext context, ClientRequest firstRequest, PlanUsage planUsage) {
     GatewaySettings settings = context.settings();
@@ -67,7 +67,7 @@
     callPriority = new CounterCallPriority(plan, gateways, settings.gatewayCount());
     estimate =
         new FleetQuotaEstimate(
-            plan, gateways, settings.counter().maxRequestUnits(), spread(key), clock);
+            plan, gateways, settings.counter().maxRequestUnits(), hash(key), clock);
     hardLimit = new HardLimitBucket(plan, gateways);
     refilledAtNanos = context.startedAtNanos();
     // Reports are spread in time: made at once they would overload the counter.
@@ -75,7 +75,7 @@
   }
 
   /** Spreads numbers that lie close together over all long values. */
-  private static long spread(long number) {
+  private static long hash(long number) {
     return new SplittableRandom(number).nextLong();
   }
 
@@ -91,16 +91,18 @@
     refill();
     double units = reservation.units();
     if (hardLimit.exceededBy(units)) {
-      context.listener().rejected(reservation, hardLimit.secondsUntil(units));
+      context.listener().rejected(reservation, hardLimit.secondsUntilAvailable(units));
       return;
     }
     hardLimit.take(units);
     take(units);
     reservation.setState(QuotaReservation.State.UNDECIDED);
     double priority =
-        context.calls().normalizePriority(callPriority.of(reservation, isProbablyUsedUp()));
+        context.calls().normalizePriority(callPriority.of(reservation, isProbablyExhausted()));
     reportPriority = priority * REPORT_PRIORITY_FACTOR;
-    if (wantsTotal() && canWaitForCounter(reservation) && context.calls().tryAcquire(priority)) {
+    if (needsCounterTotal()
+        && canWaitForCounter(reservation)
+        && context.calls().tryAcquire(priority)) {
       reservation.setState(QuotaReservation.State.AWAITING_COUNTER);
       callCounter(reservation);
       context.listener().deferred(reservation);
@@ -110,32 +112,32 @@
   }
 
   /** Whether a decision without a recent total may be wrong, and a total can be had. */
-  private boolean wantsTotal() {
+  private boolean needsCounterTotal() {
     return plan.unitsPerSecond() > 0
-        && !forwardsBeyondQuota()
+        && !forwardsOverQuota()
         && estimate.needsTotal()
         && sharesCounter
         && !context.calls().isCounterSilent();
   }
 
   /** Whether requests beyond the quota earn more than forwarding them costs. */
-  private boolean forwardsBeyondQuota() {
+  private boolean forwardsOverQuota() {
     return plan.overQuotaValue() > plan.overQuotaCost();
   }
 
   private boolean canWaitForCounter(QuotaReservation reservation) {
-    long neededNanos = CALL_TIMEOUTS_NEEDED * context.settings().counter().timeoutNanos();
+    long neededNanos = MIN_CALL_TIMEOUTS_LEFT * context.settings().counter().timeoutNanos();
     return clock.nowNanos() + neededNanos < reservation.objectiveAtNanos();
   }
 
   /** Whether a recent total and the projection since say that the quota is used up. */
-  private boolean isProbablyUsedUp() {
+  private boolean isProbablyExhausted() {
     return estimate.isReliable() && estimate.availableUnits() < 0;
   }
 
   private void decideWithoutTotal(QuotaReservation reservation) {
     estimate.divideIfStale();
-    boolean quotaLeft = !isUnverifiableRetry(reservation) && isMoreLeftThanOthersMayUse();
+    boolean quotaLeft = !isUnverifiableRetry(reservation) && coversOthersExpectedUse();
     decide(reservation, quotaLeft);
   }
 
@@ -150,7 +152,7 @@
   }
 
   /** Whether the quota lasts for what the others are expected to use until the next total. */
-  private boolean isMoreLeftThanOthersMayUse() {
+  private boolean coversOthersExpectedUse() {
     return estimate.availableUnits() >= estimate.expectedOthersUnits(REPORT_INTERVAL_NANOS);
   }
 
@@ -166,9 +168,9 @@
       context.listener().admitted(reservation);
       return;
     }
-    reservation.setState(QuotaReservation.State.BEYOND_QUOTA);
+    reservation.setState(QuotaReservation.State.OVER_QUOTA);
     take(-reservation.units());
-    if (forwardsBeyondQuota()) {
+    if (forwardsOverQuota()) {
       context.listener().admitted(reservation);
     } else {
       double missingUnits = reservation.units() - estimate.availableUnits();
@@ -182,7 +184,7 @@
       planUsage.recordAdmitted(units);
       unreportedUnits += units;
       estimate.take(units);
-      usedAtNanos = clock.nowNanos();
+      lastUsedAtNanos = clock.nowNanos();
       context.accountsToReport().add(this);
     }
   }
@@ -202,27 +204,27 @@
 
   private boolean hasReportableUse() {
     return Math.abs(unreportedUnits) > MIN_REPORT_UNITS
-        && clock.nanosSince(usedAtNanos) < estimate.windowNanos()
+        && clock.nanosSince(lastUsedAtNanos) < estimate.windowNanos()
         && sharesCounter;
   }
 
   private void callCounter(QuotaReservation reservation) {
-    long window = estimate.enterCurrentWindow();
+    long window = estimate.advanceToCurrentWindow();
     double units = Math.rint(unreportedUnits * MICRO_UNITS_PER_UNIT) * UNITS_PER_MICRO_UNIT;
     planUsage.recordReported(units);
     boolean low = estimate.availableUnits() < plan.burstUnits() / 2;
     reportDueAtNanos =
         clock.nowNanos() + (low ? REPORT_INTERVAL_NANOS : RELAXED_REPORT_INTERVAL_NANOS);
     unreportedUnits = 0;
-    callsUnderWay++;
-    long counterKey = spread(spread(key) + window) >>> 1;
+    callsInFlight++;
+    long counterKey = hash(hash(key) + window) >>> 1;
     CounterCall call = new CounterCall(this, window, units, reservation, clock.nowNanos());
     context.calls().start(counterKey, call, 2 * estimate.windowNanos());
   }
 
   /** Updates the estimate by a call that ended, and decides on the request that waited for it. */
   void callEnded(CounterCall call, Outcome outcome, double total) {
-    callsUnderWay--;
+    callsInFlight--;
     boolean currentWindow = estimate.isCurrentWindow(call.window());
     if (outcome.provesNotExecuted()) {
       unreportedUnits += call.units();
@@ -234,7 +236,7 @@
     }
     refill();
     if (outcome == Outcome.OK && currentWindow) {
-      estimate.learnTotal(call.units(), total, unreportedUnits, planUsage.reportedFraction());
+      estimate.applyTotal(call.units(), total, unreportedUnits, planUsage.reportedFraction());
     }
     decideAfterCall(call, outcome == Outcome.OK);
   }
@@ -250,13 +252,13 @@
       context.listener().abandoned(reservation);
     } else if (answered) {
       decide(reservation, estimate.availableUnits() >= 0);
-      if (reservation.state() == QuotaReservation.State.BEYOND_QUOTA) {
+      if (reservation.state() == QuotaReservation.State.OVER_QUOTA) {
         // The others take what was reported for it for use until it is given back.
         reportDueAtNanos = clock.nowNanos();
       }
     } else {
       estimate.divideIfStale();
-      decide(reservation, isMoreLeftThanOthersMayUse());
+      decide(reservation, coversOthersExpectedUse());
     }
   }
 
@@ -303,8 +305,8 @@
    * dropped.
    */
   boolean isDisposable() {
-    long idleNanos = clock.nanosSince(Math.max(usedAtNanos, estimate.totalAtNanos()));
-    if (openRequests + callsUnderWay > 0
+    long idleNanos = clock.nanosSince(Math.max(lastUsedAtNanos, estimate.totalAtNanos()));
+    if (openRequests + callsInFlight > 0
         || idleNanos < 2 * estimate.windowNanos() + RETENTION_NANOS
         || context.accountsToReport().contains(this)) {
       return false;
--- a/src/main/java/merlinrouter/quota/QuotaReservation.java
+++ b/src/main/java/merlinrouter/quota/QuotaReservation.java
@@ -25,14 +25,14 @@
     /** The request is within the quota and holds its units. */
     WITHIN_QUOTA,
     /** The request is beyond the quota; it holds units of the hard limit only. */
-    BEYOND_QUOTA;
+    OVER_QUOTA;
 
     boolean holdsHardLimitUnits() {
       return this != OPENED;
     }
 
     boolean holdsQuotaUnits() {
-      return this != OPENED && this != BEYOND_QUOTA;
+      return this != OPENED && this != OVER_QUOTA;
     }
   }
 
@@ -67,7 +67,7 @@
   /** Value of the request: its class's weight times its plan's factor, less beyond the quota. */
   public double value() {
     double fraction =
-        state == State.BEYOND_QUOTA
+        state == State.OVER_QUOTA
             ? account.plan().overQuotaValue() - account.plan().overQuotaCost()
             : 1;
     return requestClass.priorityWeight() * account.plan().valueFactor() * fraction;
--- a/src/test/java/merlinrouter/quota/CounterCallPriorityTest.java
+++ b/src/test/java/merlinrouter/quota/CounterCallPriorityTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void itGrowsWithTheUnitsAndTheGatewaysOfTheCustomer() {
+  void priorityGrowsWithUnitsAndGatewaysOfTheCustomer() {
     CounterCallPriority all = new CounterCallPriority(PLAN, GATEWAYS, GATEWAYS);
     CounterCallPriority half = new CounterCallPriority(PLAN, GATEWAYS / 2, GATEWAYS);
     double priority = all.of(reservation(1, false), false);
--- a/src/test/java/merlinrouter/quota/CounterCallRateLimiterTest.java
+++ b/src/test/java/merlinrouter/quota/CounterCallRateLimiterTest.java
@@ -13,7 +13,7 @@
 
 /** Which calls to the counter may be made. */
 class CounterCallRateLimiterTest {
-  private static final double HIGH_STAKE = 10;
+  private static final double HIGH_PRIORITY = 10;
 
   private final EventClock clock = new EventClock(0);
   private final CounterHealth health = new CounterHealth(clock);
@@ -27,13 +27,13 @@
     long untilNanos = clock.nowNanos() + seconds * PER_SECOND;
     while (clock.nowNanos() < untilNanos) {
       clock.advanceTo(clock.nowNanos() + 10 * PER_MILLI);
-      calls += limiter.tryAcquire(HIGH_STAKE) ? 1 : 0;
+      calls += limiter.tryAcquire(HIGH_PRIORITY) ? 1 : 0;
     }
     return calls;
   }
 
   @Test
-  void theFewerCallsAreLeftTheHigherThePriorityHasToBe() {
+  void requiredPriorityRisesAsTokensRunOut() {
     clock.advanceTo(10 * PER_SECOND);
     assertTrue(limiter.tryAcquire(0), "of 4 saved calls any may take one");
     assertFalse(limiter.tryAcquire(0.4));
@@ -41,11 +41,11 @@
     assertTrue(limiter.tryAcquire(1));
     assertFalse(limiter.tryAcquire(1.4));
     assertTrue(limiter.tryAcquire(1.5));
-    assertFalse(limiter.tryAcquire(HIGH_STAKE), "none is left");
+    assertFalse(limiter.tryAcquire(HIGH_PRIORITY), "none is left");
   }
 
   @Test
-  void aPriorityIsRelativeToTheMean() {
+  void priorityIsNormalizedByTheMean() {
     for (int i = 0; i < 1000; i++) {
       limiter.normalizePriority(3);
     }
@@ -67,8 +67,8 @@
   private void endCalls(Outcome outcome, long durationNanos) {
     for (int i = 0; i < 20; i++) {
       clock.advanceTo(clock.nowNanos() + PER_SECOND / 4);
-      limiter.tryAcquire(HIGH_STAKE);
-      limiter.tryAcquire(HIGH_STAKE);
+      limiter.tryAcquire(HIGH_PRIORITY);
+      limiter.tryAcquire(HIGH_PRIORITY);
       limiter.callEnded(outcome, durationNanos, 50 * PER_MILLI);
     }
   }
--- a/src/test/java/merlinrouter/quota/CustomerPopulation.java
+++ b/src/test/java/merlinrouter/quota/CustomerPopulation.java
@@ -20,10 +20,10 @@
   /** Customers of each plan for each gateway. */
   private static final double[] CUSTOMERS_PER_GATEWAY = {5, 1.5, 0.55, 0.25};
 
-  private static final double CALM_USE = 0.31;
-  private static final double HEAVY_FRACTION = 0.075;
+  private static final double LIGHT_USE_FACTOR = 0.31;
+  private static final double OVER_QUOTA_FRACTION = 0.075;
   private static final double BURSTY_FRACTION = 0.16;
-  private static final double FULL_FRACTION = 0.27;
+  private static final double NEAR_QUOTA_FRACTION = 0.27;
   private static final double BURST_INTERVAL_SECONDS = 11;
 
   private CustomerPopulation() {}
@@ -42,14 +42,15 @@
   private static DoubleUnaryOperator use(SplittableRandom random, double unitsPerSecond) {
     double kind = random.nextDouble();
     double deviation = random.nextDouble(0.8, 1.2);
-    if (kind < HEAVY_FRACTION) {
+    if (kind < OVER_QUOTA_FRACTION) {
       return steady(random.nextDouble(2.3, 4.2) * unitsPerSecond);
     }
-    if (kind < HEAVY_FRACTION + BURSTY_FRACTION) {
-      return bursts(random, random.nextDouble(3, 7.8) * unitsPerSecond, CALM_USE * unitsPerSecond);
+    if (kind < OVER_QUOTA_FRACTION + BURSTY_FRACTION) {
+      return bursts(
+          random, random.nextDouble(3, 7.8) * unitsPerSecond, LIGHT_USE_FACTOR * unitsPerSecond);
     }
-    boolean full = kind < HEAVY_FRACTION + BURSTY_FRACTION + FULL_FRACTION;
-    return steady((full ? 0.95 : CALM_USE) * deviation * unitsPerSecond);
+    boolean full = kind < OVER_QUOTA_FRACTION + BURSTY_FRACTION + NEAR_QUOTA_FRACTION;
+    return steady((full ? 0.95 : LIGHT_USE_FACTOR) * deviation * unitsPerSecond);
   }
 
   /** A customer who always asks at one rate. */
--- a/src/test/java/merlinrouter/quota/EventQueue.java
+++ b/src/test/java/merlinrouter/quota/EventQueue.java
@@ -14,7 +14,7 @@
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private long nowNanos;
-  private long entered;
+  private long scheduledCount;
 
   EventQueue(long nowNanos) {
     this.nowNanos = nowNanos;
@@ -24,8 +24,8 @@
     return nowNanos;
   }
 
-  void at(long atNanos, Runnable action) {
-    events.add(new Event(atNanos, entered++, action));
+  void schedule(long atNanos, Runnable action) {
+    events.add(new Event(atNanos, scheduledCount++, action));
   }
 
   void runUntil(long endNanos) {
--- a/src/test/java/merlinrouter/quota/FleetQuotaEstimateTest.java
+++ b/src/test/java/merlinrouter/quota/FleetQuotaEstimateTest.java
@@ -35,39 +35,39 @@
   }
 
   @Test
-  void aTotalTakesTheUseOfTheOthersOnce() {
-    estimate.enterCurrentWindow();
+  void aTotalSubtractsTheUseOfOthersOnce() {
+    estimate.advanceToCurrentWindow();
     useAndReport(2);
-    estimate.learnTotal(2, 12, 0, ALL_REPORTED);
+    estimate.applyTotal(2, 12, 0, ALL_REPORTED);
     assertEquals(18, estimate.availableUnits(), TOLERANCE);
     useAndReport(2);
-    estimate.learnTotal(2, 14, 0, ALL_REPORTED);
+    estimate.applyTotal(2, 14, 0, ALL_REPORTED);
     assertEquals(16, estimate.availableUnits(), TOLERANCE);
   }
 
   @Test
-  void theOthersAreTakenToReportThePartThatThisGatewayReports() {
-    estimate.enterCurrentWindow();
-    estimate.learnTotal(0, 6, 0, 0.5);
+  void othersAreAssumedToReportTheSameFraction() {
+    estimate.advanceToCurrentWindow();
+    estimate.applyTotal(0, 6, 0, 0.5);
     assertEquals(30 - 6 / 0.5, estimate.availableUnits(), TOLERANCE);
   }
 
   @Test
-  void aCounterThatLostItsCountsGivesNothingBack() {
-    estimate.enterCurrentWindow();
+  void lossOfCountsRestoresNoUnits() {
+    estimate.advanceToCurrentWindow();
     useAndReport(2);
-    estimate.learnTotal(2, 12, 0, ALL_REPORTED);
+    estimate.applyTotal(2, 12, 0, ALL_REPORTED);
     useAndReport(3);
-    estimate.learnTotal(3, 3, 0, ALL_REPORTED);
+    estimate.applyTotal(3, 3, 0, ALL_REPORTED);
     assertEquals(15, estimate.availableUnits(), TOLERANCE);
   }
 
   @Test
-  void betweenTotalsTheOthersAreProjectedToGoOn() {
-    estimate.enterCurrentWindow();
-    estimate.learnTotal(0, 0, 0, ALL_REPORTED);
+  void useOfOthersIsProjectedBetweenTotals() {
+    estimate.advanceToCurrentWindow();
+    estimate.applyTotal(0, 0, 0, ALL_REPORTED);
     clock.advanceTo(7 * PER_SECOND);
-    estimate.learnTotal(0, 8, 0, ALL_REPORTED);
+    estimate.applyTotal(0, 8, 0, ALL_REPORTED);
     double projected = estimate.expectedOthersUnits(PER_SECOND);
     assertTrue(projected > 0 && projected <= 8, "projected " + projected);
     estimate.refill(1);
@@ -81,21 +81,21 @@
     assertEquals(10, estimate.availableUnits(), TOLERANCE);
     estimate.divideIfStale();
     assertEquals(10, estimate.availableUnits(), TOLERANCE);
-    estimate.learnTotal(0, 0, 0, ALL_REPORTED);
+    estimate.applyTotal(0, 0, 0, ALL_REPORTED);
     assertFalse(estimate.isDivided());
   }
 
   @Test
-  void theDividedPartIsAtLeastTheLargestRequest() {
+  void theShareOfADividedQuotaIsAtLeastTheLargestRequest() {
     estimate.take(24);
     estimate.divideIfStale();
     assertEquals(4, estimate.availableUnits(), TOLERANCE);
   }
 
   @Test
-  void aTotalIsWantedAgainAfterAQuarterOfAWindow() {
+  void aTotalIsNeededAgainAfterAQuarterOfAWindow() {
     assertTrue(estimate.needsTotal());
-    estimate.learnTotal(0, 0, 0, ALL_REPORTED);
+    estimate.applyTotal(0, 0, 0, ALL_REPORTED);
     clock.advanceTo(6 * PER_SECOND + estimate.windowNanos() / 4);
     assertFalse(estimate.needsTotal());
     clock.advanceTo(clock.nowNanos() + 1);
--- a/src/test/java/merlinrouter/quota/HardLimitBucketTest.java
+++ b/src/test/java/merlinrouter/quota/HardLimitBucketTest.java
@@ -16,16 +16,16 @@
   private final HardLimitBucket bucket = new HardLimitBucket(PLAN, 4);
 
   @Test
-  void theBucketStartsEmptyAndRefillsAtTheGatewaysPartOfTheRate() {
+  void theBucketStartsEmptyAndRefillsAtTheGatewaysShareOfTheRate() {
     assertTrue(bucket.exceededBy(1));
     bucket.refill(1);
     assertFalse(bucket.exceededBy(2));
     assertTrue(bucket.exceededBy(3));
-    assertEquals(0.5, bucket.secondsUntil(3), 1e-9);
+    assertEquals(0.5, bucket.secondsUntilAvailable(3), 1e-9);
   }
 
   @Test
-  void theBucketHoldsTheGatewaysPartOfTheBurst() {
+  void theBucketHoldsTheGatewaysShareOfTheBurst() {
     bucket.refill(1000);
     assertTrue(bucket.isFull());
     assertTrue(bucket.exceededBy(9));
--- a/src/test/java/merlinrouter/quota/PlanUsageTest.java
+++ b/src/test/java/merlinrouter/quota/PlanUsageTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void oldUseIsForgotten() {
+  void earlierUseDecays() {
     usage.recordAdmitted(1000);
     for (int i = 0; i < 2000; i++) {
       usage.recordAdmitted(1);
--- a/src/test/java/merlinrouter/quota/QuotaFleetReport.java
+++ b/src/test/java/merlinrouter/quota/QuotaFleetReport.java
@@ -56,17 +56,17 @@
   }
 
   private static void mixed(int gateways, double callsPerSecond) {
-    double price = 0;
+    double costRatio = 0;
     double served = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
       SimulatedQuotaFleet fleet =
           new SimulatedQuotaFleet(CustomerPopulation.PLANS, gateways, callsPerSecond, 0.3, seed);
       Result result = fleet.run(CustomerPopulation.mixed(gateways, seed), SECONDS);
-      price += result.price() / SEEDS;
+      costRatio += result.overQuotaCostRatio() / SEEDS;
       served += result.servedFraction() / SEEDS;
     }
     System.out.printf(
         "%d gateways, mixed, counter of %.0f calls a second: price %.3f, served %.3f%n",
-        gateways, callsPerSecond, price, served);
+        gateways, callsPerSecond, costRatio, served);
   }
 }
--- a/src/test/java/merlinrouter/quota/QuotaFleetTest.java
+++ b/src/test/java/merlinrouter/quota/QuotaFleetTest.java
@@ -22,10 +22,10 @@
   private static final int SEEDS = 6;
 
   /** The target of what traffic beyond the quotas costs, of the value within them. */
-  private static final double MAX_PRICE = 0.12;
+  private static final double MAX_OVER_QUOTA_COST_RATIO = 0.12;
 
   /** As much as the price may be at most where the counter is never silent. */
-  private static final double MAX_PRICE_WITH_OUTAGE = 0.19;
+  private static final double MAX_OVER_QUOTA_COST_RATIO_WITH_OUTAGE = 0.19;
 
   private static SimulatedQuotaFleet fleet(long seed) {
     return new SimulatedQuotaFleet(
@@ -35,11 +35,13 @@
   /** The counter stood half idle while gateways admitted without its totals. */
   @Test
   void manyCustomersOnABusyCounterStayWithinTheirQuotas() {
-    double price = 0;
+    double costRatio = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      price += fleet(seed).run(CustomerPopulation.mixed(GATEWAYS, seed), SECONDS).price() / SEEDS;
+      costRatio +=
+          fleet(seed).run(CustomerPopulation.mixed(GATEWAYS, seed), SECONDS).overQuotaCostRatio()
+              / SEEDS;
     }
-    assertTrue(price <= MAX_PRICE, "price of traffic over quota " + price);
+    assertTrue(costRatio <= MAX_OVER_QUOTA_COST_RATIO, "price of traffic over quota " + costRatio);
   }
 
   @Test
@@ -58,21 +60,22 @@
   }
 
   @Test
-  void aCounterThatComesBackEmptyMisleadsNobodyForLong() {
+  void aCounterOutageWithLossOfTotalsCausesLittleOverAdmission() {
     SimulatedQuotaFleet fleet = fleet(1);
     fleet
         .events()
-        .at(8 * PER_SECOND, () -> fleet.counter().setState(SimulatedCounter.State.SILENT));
+        .schedule(8 * PER_SECOND, () -> fleet.counter().setState(SimulatedCounter.State.SILENT));
     fleet
         .events()
-        .at(
+        .schedule(
             12 * PER_SECOND,
             () -> {
               fleet.counter().loseTotals();
               fleet.counter().setState(SimulatedCounter.State.SERVING);
             });
     Result result = fleet.run(CustomerPopulation.mixed(GATEWAYS, 1), SECONDS);
-    assertTrue(result.price() <= MAX_PRICE_WITH_OUTAGE, result.toString());
+    assertTrue(
+        result.overQuotaCostRatio() <= MAX_OVER_QUOTA_COST_RATIO_WITH_OUTAGE, result.toString());
   }
 
   @Test
--- a/src/test/java/merlinrouter/quota/SimulatedCounter.java
+++ b/src/test/java/merlinrouter/quota/SimulatedCounter.java
@@ -27,7 +27,7 @@
   private final SplittableRandom random = new SplittableRandom(RANDOM_SEED);
   private final EventQueue events;
   private final long serviceNanos;
-  private final long queueNanos;
+  private final long maxQueueNanos;
   private final long timeoutNanos;
   private final long[] busyUntilNanos;
   private final Map<Long, Double> totals = new HashMap<>();
@@ -41,12 +41,12 @@
    * @param callsPerSecond what all parts serve together
    * @param timeoutNanos when a caller gives a call up; it is counted all the same
    */
-  SimulatedCounter(EventQueue events, double callsPerSecond, int parts, long timeoutNanos) {
+  SimulatedCounter(EventQueue events, double callsPerSecond, int shards, long timeoutNanos) {
     this.events = events;
     this.timeoutNanos = timeoutNanos;
-    serviceNanos = (long) (parts * Nanos.PER_SECOND / callsPerSecond);
-    queueNanos = 2 * timeoutNanos;
-    busyUntilNanos = new long[parts];
+    serviceNanos = (long) (shards * Nanos.PER_SECOND / callsPerSecond);
+    maxQueueNanos = 2 * timeoutNanos;
+    busyUntilNanos = new long[shards];
   }
 
   void setState(State newState) {
@@ -75,20 +75,20 @@
       calls++;
       long sentNanos = events.nowNanos();
       lastArrivalNanos = Math.max(lastArrivalNanos, sentNanos + oneWayNanos());
-      events.at(lastArrivalNanos, () -> arrived(key, units, sentNanos, caller));
+      events.schedule(lastArrivalNanos, () -> arrived(key, units, sentNanos, caller));
     }
 
     private void arrived(long key, double units, long sentNanos, Caller caller) {
-      int part = (int) Math.floorMod(key, (long) busyUntilNanos.length);
-      long startNanos = Math.max(events.nowNanos(), busyUntilNanos[part]);
+      int shard = (int) Math.floorMod(key, (long) busyUntilNanos.length);
+      long startNanos = Math.max(events.nowNanos(), busyUntilNanos[shard]);
       if (state == State.SILENT) {
         timeOut(sentNanos, caller);
-      } else if (startNanos - events.nowNanos() > queueNanos) {
+      } else if (startNanos - events.nowNanos() > maxQueueNanos) {
         unanswered++;
         answer(() -> caller.callEnded(Outcome.REJECTED, 0));
       } else {
-        busyUntilNanos[part] = startNanos + serviceNanos;
-        events.at(busyUntilNanos[part], () -> served(key, units, sentNanos, caller));
+        busyUntilNanos[shard] = startNanos + serviceNanos;
+        events.schedule(busyUntilNanos[shard], () -> served(key, units, sentNanos, caller));
       }
     }
 
@@ -103,14 +103,14 @@
 
     private void answer(Runnable end) {
       lastAnswerNanos = Math.max(lastAnswerNanos, events.nowNanos() + oneWayNanos());
-      events.at(lastAnswerNanos, end);
+      events.schedule(lastAnswerNanos, end);
     }
 
     private void timeOut(long sentNanos, Caller caller) {
       unanswered++;
       lastAnswerNanos =
           Math.max(lastAnswerNanos, Math.max(events.nowNanos(), sentNanos + timeoutNanos));
-      events.at(lastAnswerNanos, () -> caller.callEnded(Outcome.TIMEOUT, 0));
+      events.schedule(lastAnswerNanos, () -> caller.callEnded(Outcome.TIMEOUT, 0));
     }
   }
 
--- a/src/test/java/merlinrouter/quota/SimulatedQuotaFleet.java
+++ b/src/test/java/merlinrouter/quota/SimulatedQuotaFleet.java
@@ -48,11 +48,11 @@
   static final class Result {
     long tries;
     long forwarded;
-    long forwardedBeyond;
+    long forwardedOverQuota;
     long rejected;
-    long rejectedWithRoom;
-    long triesWithRoom;
-    double beyondCost;
+    long rejectedWithinQuota;
+    long triesWithinQuota;
+    double overQuotaCost;
     double offeredValue;
     double servedValue;
     double callsPerSecond;
@@ -60,17 +60,17 @@
 
     /** Forwarded beyond the quota, as a fraction of all forwarded requests. */
     double overAdmission() {
-      return forwardedBeyond / (double) Math.max(1, forwarded);
+      return forwardedOverQuota / (double) Math.max(1, forwarded);
     }
 
     /** Rejected though the exact bucket held the request's units, of all tries that it held. */
     double wrongRejection() {
-      return rejectedWithRoom / (double) Math.max(1, triesWithRoom);
+      return rejectedWithinQuota / (double) Math.max(1, triesWithinQuota);
     }
 
     /** What was forwarded beyond the quotas costs, as a fraction of the value within them. */
-    double price() {
-      return beyondCost / offeredValue;
+    double overQuotaCostRatio() {
+      return overQuotaCost / offeredValue;
     }
 
     double servedFraction() {
@@ -82,7 +82,7 @@
       return String.format(
           "price %.3f served %.3f over %.3f wrong %.3f forwarded %d rejected %d calls/s %.0f"
               + " unanswered %.3f",
-          price(),
+          overQuotaCostRatio(),
           servedFraction(),
           overAdmission(),
           wrongRejection(),
@@ -211,7 +211,7 @@
       double rate = customer.unitsPerSecond().applyAsDouble(now);
       double maxRate = 10 * plan.unitsPerSecond();
       double wait = -Math.log(1 - random.nextDouble()) / maxRate;
-      events.at(
+      events.schedule(
           events.nowNanos() + (long) (wait * PER_SECOND),
           () -> {
             scheduleNext();
@@ -242,7 +242,7 @@
     private void send(int gateway, int tries) {
       result.tries++;
       if (forwarded.holds(1)) {
-        result.triesWithRoom++;
+        result.triesWithinQuota++;
       }
       gateways.get(gateway).request(this, gateway, tries);
     }
@@ -257,7 +257,7 @@
               (long) (Math.min(MAX_RETRY_AFTER_SECONDS, retryAfterSeconds) * PER_SECOND));
       boolean elsewhere = random.nextDouble() < OTHER_GATEWAY_PROBABILITY;
       int next = elsewhere ? randomGateway() : gateway;
-      events.at(events.nowNanos() + wait, () -> send(next, tries + 1));
+      events.schedule(events.nowNanos() + wait, () -> send(next, tries + 1));
     }
   }
 
@@ -282,7 +282,7 @@
       clock.advanceTo(events.nowNanos());
       quotas.decideOverdueAdmissions();
       quotas.reportUse();
-      events.at(events.nowNanos() + TIMER_INTERVAL_NANOS, this::tick);
+      events.schedule(events.nowNanos() + TIMER_INTERVAL_NANOS, this::tick);
     }
 
     private void callCounter(long key, double units, long timeToLiveNanos) {
@@ -318,7 +318,7 @@
     @Override
     public void admitted(QuotaReservation reservation) {
       long wait = (long) (random.nextDouble() * SERVICE_NANOS);
-      events.at(events.nowNanos() + wait, () -> dispatch(reservation));
+      events.schedule(events.nowNanos() + wait, () -> dispatch(reservation));
     }
 
     private void dispatch(QuotaReservation reservation) {
@@ -335,10 +335,10 @@
       if (request.traffic().forwarded.take(1)) {
         result.servedValue += plan.valueFactor();
       } else {
-        result.forwardedBeyond++;
-        result.beyondCost += plan.valueFactor() * plan.overQuotaCost();
+        result.forwardedOverQuota++;
+        result.overQuotaCost += plan.valueFactor() * plan.overQuotaCost();
       }
-      events.at(
+      events.schedule(
           events.nowNanos() + SERVICE_NANOS,
           () -> {
             clock.advanceTo(events.nowNanos());
@@ -351,7 +351,7 @@
       Pending request = pending.remove(reservation.requestId());
       result.rejected++;
       if (request.traffic().forwarded.holds(1)) {
-        result.rejectedWithRoom++;
+        result.rejectedWithinQuota++;
       }
       reservation.release();
       request.traffic().rejected(request.gateway(), request.tries(), retryAfterSeconds);
