--- a/src/main/java/merlinrouter/quota/AdmissionListener.java
+++ b/src/main/java/merlinrouter/quota/AdmissionListener.java
@@ -1,16 +1,26 @@
 package merlinrouter.quota;
 
-/** Is notified of decisions on admission, possibly from within the call that asked for one. */
+/**
+ * Listener for admission decisions. A method may be called before the call that requested the
+ * decision, such as {@link QuotaManager#admit}, has returned.
+ */
 public interface AdmissionListener {
-  /** The request may be queued. */
+  /** Called when the request is admitted and may be queued. */
   void admitted(QuotaReservation reservation);
 
-  /** The request has to be rejected; its quota will be available after some seconds. */
+  /**
+   * Called when the request must be rejected.
+   *
+   * @param retryAfterSeconds estimated time until the units of the request are available
+   */
   void rejected(QuotaReservation reservation, double retryAfterSeconds);
 
-  /** The decision waits for the counter; one of the other methods is called later. */
+  /** Called when the decision waits for the counter; another method is called later. */
   void deferred(QuotaReservation reservation);
 
-  /** The counter has answered for a request whose client has disconnected. */
+  /**
+   * Called when the call to the counter has ended, or is overdue, for a request whose client has
+   * disconnected.
+   */
   void abandoned(QuotaReservation reservation);
 }
--- a/src/main/java/merlinrouter/quota/CounterCall.java
+++ b/src/main/java/merlinrouter/quota/CounterCall.java
@@ -1,13 +1,13 @@
 package merlinrouter.quota;
 
 /**
- * A call to the shared counter that has not ended.
+ * A call to the shared counter that is in flight.
  *
- * @param account the customer whose use it reports
- * @param window number of the counter's window that it adds to
- * @param units the units that it adds
- * @param reservation the request whose admission waits for it; null if none does
- * @param startedAtNanos when it was made
+ * @param account the account of the customer whose use is reported
+ * @param window number of the counter's window to which the units are added
+ * @param units the units that are added
+ * @param reservation the request whose admission waits for the call; null for a report only
+ * @param startedAtNanos when the call was started
  */
 record CounterCall(
     QuotaAccount account,
--- a/src/main/java/merlinrouter/quota/CounterCallPriority.java
+++ b/src/main/java/merlinrouter/quota/CounterCallPriority.java
@@ -3,25 +3,25 @@
 import merlinrouter.settings.QuotaPlan;
 
 /**
- * Priority of a call to the counter before a decision on a customer's request: what a wrong
- * decision would cost.
+ * Priority of a call to the counter before a customer's request is admitted or rejected: the
+ * expected cost of a wrong decision.
  */
 final class CounterCallPriority {
-  /** The rejection before a retry rested on a total that is still recent. */
+  /** The rejection that a retry follows was based on a total that is still recent. */
   private static final double RETRY_FACTOR = 0.3;
 
-  /** A total that probably confirms a rejection changes no decision. */
+  /** A total that probably only confirms a rejection changes no decision. */
   private static final double PROBABLY_EXHAUSTED_FACTOR = 0.1;
 
   private final QuotaPlan plan;
   private final double gatewayFraction;
 
   /**
-   * Creates the priorities of a customer.
+   * Creates the priorities for a customer's requests.
    *
-   * @param gateways how many gateways the customer's requests come through: the more, the less this
-   *     gateway's traffic says of the customer's
-   * @param gatewayCount how many gateways the fleet has
+   * @param gateways number of gateways that receive the customer's requests: the more there are,
+   *     the less this gateway's traffic indicates the customer's total use
+   * @param gatewayCount number of gateways in the fleet
    */
   CounterCallPriority(QuotaPlan plan, int gateways, int gatewayCount) {
     this.plan = plan;
@@ -29,9 +29,9 @@
   }
 
   /**
-   * The priority for a request.
+   * Returns the priority of a call for a request.
    *
-   * @param probablyExhausted whether the estimate says that the quota is used up
+   * @param probablyExhausted whether the quota is exhausted according to the estimate
    */
   double of(QuotaReservation reservation, boolean probablyExhausted) {
     return reservation.requestClass().priorityWeight()
--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -6,58 +6,66 @@
 import merlinrouter.time.Nanos;
 
 /**
- * Limits the rate of calls to the shared counter, which all gateways load together. The rate adapts
- * to how long calls take. Calls of a higher priority go first: the emptier the token bucket, the
- * higher the priority that a call must have, relative to the mean.
+ * Token bucket that limits the rate of this gateway's calls to the shared counter, which serves all
+ * gateways. The rate adapts to the duration of calls. Calls with a higher priority are preferred:
+ * the emptier the bucket, the higher the priority, relative to the mean, that a call needs.
  */
 final class CounterCallRateLimiter {
-  /** Initial calls per second of all gateways together, well below what a counter bears. */
+  /** Initial rate of all gateways together, well below the capacity of a counter. */
   private static final double INITIAL_FLEET_CALLS_PER_SECOND = 200;
 
-  /** A gateway begins with at least this many calls per second, whatever the fleet's size. */
+  /** Lower bound on the initial rate of one gateway, independent of the size of the fleet. */
   private static final double MIN_INITIAL_CALLS_PER_SECOND = 2;
 
-  /** Calls per second while the counter is silent. */
+  /** Rate of one gateway while the counter is silent. */
   private static final double SILENT_CALLS_PER_SECOND = 1;
 
-  /** While calls are answered the rate does not fall below this fraction of its initial value. */
+  /** Lower bound on the rate while calls are answered, as a fraction of the initial rate. */
   private static final double MIN_ANSWERED_FRACTION = 1.0 / 4;
 
+  /** Lower bound on the rate while calls are not answered. */
   private static final double MIN_UNANSWERED_CALLS_PER_SECOND = 1;
 
   /**
-   * Relative change of the rate per second at an unloaded counter. Changes are weighted with the
-   * time that they stand for, so that single late answers do not stop the calls.
+   * Gain of the rate control: relative increase of the rate per second at an unloaded counter,
+   * where calls take next to no time. Each adjustment is weighted with the time since the last one,
+   * so that single late answers do not stop the calls.
    */
   private static final double GAIN_PER_SECOND = 1;
 
-  /** The same in slow start, which ends with the first slow call. */
+  /** The gain in slow start, which ends with the first slow call. */
   private static final double SLOW_START_GAIN_PER_SECOND = 6;
 
-  /** It grows with the calls that take no more than three quarters of the target. */
+  /**
+   * Smallest deviation at which the slow-start gain applies: the call takes at most three quarters
+   * of the target duration.
+   */
   private static final double SLOW_START_MIN_DEVIATION = 0.25;
 
-  /** In this time the gateway's own start delays calls, which says nothing of the counter. */
+  /**
+   * Answered calls that end within this time after the start do not change the rate: the start of
+   * the gateway delays them, not the load of the counter.
+   */
   private static final long STARTUP_NANOS = Nanos.PER_SECOND;
 
-  /** The rate is steady where calls take this fraction of their timeout. */
+  /** Target duration of a call, as a fraction of its timeout; it leaves the rate unchanged. */
   private static final double TARGET_TIMEOUT_FRACTION = 0.5;
 
-  /** Bound on how strongly a slow call lowers the rate. */
+  /** Bound on the deviation of a slow call from the target, and so on the decrease of the rate. */
   private static final double MAX_SLOW_DEVIATION = 2;
 
-  /** A rejected call counts as one that took its whole timeout. */
+  /** A rejected call counts as a call that took its whole timeout. */
   private static final double REJECTED_TIMEOUT_FRACTION = 1;
 
-  /** Tokens that may be saved: the calls of this time. */
+  /** Capacity of the bucket: the calls of this time at the current rate. */
   private static final long BURST_NANOS = Nanos.PER_SECOND / 4;
 
-  /** A change of the rate stands for this time at most, however long ago the last one was. */
+  /** Upper bound on the weight of an adjustment, which is otherwise the time since the last one. */
   private static final long MAX_ADJUSTMENT_NANOS = Nanos.PER_SECOND / 4;
 
   private static final double MIN_CAPACITY_CALLS = 2 * MIN_INITIAL_CALLS_PER_SECOND;
 
-  /** The priority, relative to the mean, that a call needs when the bucket is empty. */
+  /** Priority, relative to the mean, that a call needs when the bucket is empty. */
   private static final double MAX_REQUIRED_PRIORITY = 2;
 
   private static final double PRIORITY_SAMPLE_WEIGHT = 0.02;
@@ -82,19 +90,19 @@
     initialCallsPerSecond =
         Math.max(MIN_INITIAL_CALLS_PER_SECOND, INITIAL_FLEET_CALLS_PER_SECOND / gatewayCount);
     callsPerSecond = initialCallsPerSecond;
-    // Gateways that start together must not call together.
+    // A random number of tokens keeps gateways that start together from calling together.
     tokens = random.nextDouble(callsPerSecond);
     startedAtNanos = clock.nowNanos();
     refilledAtNanos = startedAtNanos;
   }
 
-  /** Returns a priority relative to the mean of all so far, to which it is added first. */
+  /** Adds a priority to the moving average and returns it relative to the average. */
   double normalizePriority(double priority) {
     meanPriority += PRIORITY_SAMPLE_WEIGHT * (priority - meanPriority);
     return priority / Math.max(MIN_MEAN_PRIORITY, meanPriority);
   }
 
-  /** Takes a token for a call with a relative priority; false if it must not be made. */
+  /** Takes a token for a call; returns false if the call must not be made. */
   boolean tryAcquire(double relativePriority) {
     double rate = health.isSilent() ? SILENT_CALLS_PER_SECOND : callsPerSecond;
     double capacity = Math.max(MIN_CAPACITY_CALLS, rate * BURST_NANOS * Nanos.IN_SECONDS);
@@ -111,8 +119,9 @@
   }
 
   /**
-   * Adapts the rate to a call that ended. A connection that broke says nothing of the counter's
-   * load. The rate rises only where it has kept calls back.
+   * Adapts the rate to the duration of a call that ended. A failure within the target duration
+   * other than a rejection, such as a broken connection, does not indicate load and is ignored. The
+   * rate increases only if a call of at least mean priority was denied since the last adjustment.
    */
   void callEnded(Outcome outcome, long durationNanos, long timeoutNanos) {
     boolean answered = outcome == Outcome.OK;
--- a/src/main/java/merlinrouter/quota/CounterCalls.java
+++ b/src/main/java/merlinrouter/quota/CounterCalls.java
@@ -9,7 +9,7 @@
 import merlinrouter.settings.GatewaySettings;
 import merlinrouter.time.EventClock;
 
-/** The calls to the shared counter that are under way, and whether more may be made. */
+/** Tracks the calls to the shared counter that are in flight, and limits the rate of new ones. */
 final class CounterCalls {
   /** A call is overdue after this many timeouts. */
   private static final int OVERDUE_TIMEOUTS = 2;
@@ -40,23 +40,23 @@
     return health.isSilent();
   }
 
-  /** Returns a priority relative to the mean of all so far, to which it is added first. */
+  /** Adds a priority to the moving average and returns it relative to the average. */
   double normalizePriority(double priority) {
     return rateLimiter.normalizePriority(priority);
   }
 
-  /** Whether a call with a relative priority may be made now; if so, it has to be made. */
+  /** Returns whether a call with a relative priority may be made now; if so, it must be made. */
   boolean tryAcquire(double relativePriority) {
     return rateLimiter.tryAcquire(relativePriority);
   }
 
-  /** Makes a call; calls with one key end in their order. */
+  /** Starts a call. Calls with the same key end in the order in which they were started. */
   void start(long counterKey, CounterCall call, long timeToLiveNanos) {
     callsByKey.computeIfAbsent(counterKey, key -> new ArrayDeque<>()).add(call);
     counter.add(counterKey, call.units(), timeToLiveNanos);
   }
 
-  /** Takes out the call that ended; null if none with this key is under way. */
+  /** Removes and returns the call that ended; null if no call with this key is in flight. */
   CounterCall end(long counterKey, Outcome outcome) {
     ArrayDeque<CounterCall> calls = callsByKey.get(counterKey);
     CounterCall call = calls == null ? null : calls.poll();
@@ -70,18 +70,18 @@
     if (health.recordCall(outcome == Outcome.OK)) {
       log.accept(
           health.isSilent()
-              ? "counter silent: quotas are divided among the gateways"
-              : "counter answers again");
+              ? "shared counter does not answer: quotas are divided among the gateways"
+              : "shared counter answers again");
     }
     return call;
   }
 
-  /** Passes on each call that a host should have ended a timeout ago. */
+  /** Passes each call to the action that the host should have ended at least one timeout ago. */
   void forEachOverdue(Consumer<CounterCall> action) {
-    long dueNanos = clock.nowNanos() - OVERDUE_TIMEOUTS * timeoutNanos;
+    long overdueBeforeNanos = clock.nowNanos() - OVERDUE_TIMEOUTS * timeoutNanos;
     for (ArrayDeque<CounterCall> calls : callsByKey.values()) {
       for (CounterCall call : calls) {
-        if (call.startedAtNanos() < dueNanos) {
+        if (call.startedAtNanos() < overdueBeforeNanos) {
           action.accept(call);
         }
       }
--- a/src/main/java/merlinrouter/quota/CounterHealth.java
+++ b/src/main/java/merlinrouter/quota/CounterHealth.java
@@ -3,12 +3,12 @@
 import merlinrouter.time.EventClock;
 import merlinrouter.time.Nanos;
 
-/** Tells whether the shared counter has stopped answering. */
+/** Detects from the results of calls whether the shared counter has stopped answering. */
 final class CounterHealth {
-  /** The counter is silent after this long without an answer ... */
+  /** The counter is considered silent after more than this time without an answer ... */
   private static final long SILENT_AFTER_NANOS = Nanos.PER_SECOND / 2;
 
-  /** ... and as many calls in a row without one: fewer may be an accident. */
+  /** ... and at least this many consecutive unanswered calls: fewer may fail by chance. */
   private static final int SILENT_AFTER_CALLS = 3;
 
   private final EventClock clock;
@@ -21,7 +21,7 @@
     answeredAtNanos = clock.nowNanos();
   }
 
-  /** Records the end of a call; returns whether the counter fell silent or answers again by it. */
+  /** Records the end of a call; returns whether it changed the result of {@link #isSilent}. */
   boolean recordCall(boolean answered) {
     if (answered) {
       answeredAtNanos = clock.nowNanos();
--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -5,35 +5,36 @@
 import merlinrouter.time.Nanos;
 
 /**
- * What is left of a customer's quota over the whole fleet, as this gateway estimates it: a token
- * bucket from which both its own use and the projected use of the other gateways are taken. Totals
- * of the shared counter correct the projection.
+ * This gateway's estimate of the units that are available of a customer's quota over the whole
+ * fleet: a token bucket from which both its own use and the projected use of the other gateways are
+ * taken. Totals of the shared counter correct the projection.
  *
- * <p>The counter counts in windows: each window of a customer has a counter of its own, so that a
+ * <p>Use is counted in windows: each window of a customer has its own key at the counter, so that a
  * total covers recent use only.
  */
 final class FleetQuotaEstimate {
-  /** As many totals in a window keep the estimate recent. */
+  /** Number of totals per window that keep the estimate recent enough for decisions. */
   private static final int TOTALS_PER_WINDOW = 4;
 
-  /** Bounds on a window: the time in which a full burst refills, within these. */
+  /** Lower bound on a window, which is otherwise the time in which the full burst refills. */
   private static final long MIN_WINDOW_SECONDS = 1;
 
+  /** Upper bound on a window. */
   private static final long MAX_WINDOW_SECONDS = 30;
 
-  /** Time constant of the estimate of the others' rate, in seconds. */
+  /** Time constant of the estimated rate of the other gateways, in seconds. */
   private static final double OTHERS_RATE_TIME_CONSTANT_SECONDS = 3;
 
-  /** Shorter times between two totals say too little of a rate. */
+  /** Lower bound on the time over which a rate is computed; shorter times are too inaccurate. */
   private static final double MIN_RATE_SECONDS = 0.05;
 
-  /** Bound on the estimate of the others' rate, as a multiple of the quota's rate. */
+  /** Bound on the measured rate of the other gateways, as a multiple of the quota's rate. */
   private static final double MAX_OTHERS_RATE_FACTOR = 2;
 
-  /** Lower bound on the reported fraction, which divides what a total shows. */
+  /** Lower bound on the reported fraction, by which the use shown by a total is divided. */
   private static final double MIN_REPORTED_FRACTION = 0.1;
 
-  /** A total below the own use by more than this shows that the counter lost counts. */
+  /** A total below this gateway's reported units by more than this shows a loss of counts. */
   private static final double MAX_ROUNDING_ERROR_UNITS = 1e-3;
 
   private final QuotaPlan plan;
@@ -54,7 +55,8 @@
   /**
    * Creates an estimate of a full quota.
    *
-   * @param windowPhaseSeed a number by which customers' windows begin at different moments
+   * @param windowPhaseSeed determines the phase of the windows, so that the windows of different
+   *     customers start at different moments
    */
   FleetQuotaEstimate(
       QuotaPlan plan,
@@ -69,8 +71,8 @@
     availableUnits = plan.burstUnits();
     double refillSeconds =
         plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 1;
-    // In this time a steady customer is given just one burst, so that the window's total alone
-    // informs a gateway that never heard of the customer.
+    // Within this time the refill equals one burst, so the total of one window suffices for a
+    // gateway that has not received requests of the customer before.
     windowNanos =
         (long)
             (Math.min(MAX_WINDOW_SECONDS, Math.max(MIN_WINDOW_SECONDS, refillSeconds))
@@ -79,7 +81,7 @@
     totalAtNanos = clock.nowNanos() - 2 * windowNanos;
   }
 
-  /** Lets time pass: the quota refills, and the others are projected to go on as before. */
+  /** Adds the refill of a time span and subtracts the projected use of the other gateways. */
   void refill(double seconds) {
     double others = seconds * projectedOthersRate();
     othersUnitsSinceTotal += others;
@@ -87,7 +89,10 @@
         Math.min(plan.burstUnits(), availableUnits + seconds * plan.unitsPerSecond() - others);
   }
 
-  /** In a divided quota the others are taken to use their equal parts of the rate. */
+  /**
+   * Returns the projected rate of the other gateways. While the quota is divided, each is assumed
+   * to use its equal share of the rate.
+   */
   private double projectedOthersRate() {
     if (divided) {
       return plan.unitsPerSecond() * (1 - 1.0 / gateways);
@@ -95,12 +100,12 @@
     return Math.min(plan.unitsPerSecond(), othersUnitsPerSecond);
   }
 
-  /** Takes units of own use; negative units are given back. */
+  /** Takes units that this gateway uses; negative units are given back. */
   void take(double units) {
     availableUnits -= units;
   }
 
-  /** Enters the counter's present window and returns its number. */
+  /** Switches to the counter's current window and returns its number. */
   long advanceToCurrentWindow() {
     long current = Math.floorDiv(clock.nowNanos() + windowPhaseNanos, windowNanos);
     if (current != window) {
@@ -111,29 +116,29 @@
     return current;
   }
 
-  /** Whether a window is the one that was entered last. */
+  /** Returns whether a window is the one that was switched to last. */
   boolean isCurrentWindow(long number) {
     return number == window;
   }
 
-  /** Records own units that the counter has added to the present window, or may have added. */
+  /** Records units of this gateway that the counter has, or may have, added in this window. */
   void recordOwnReported(double units) {
     ownWindowUnits += units;
   }
 
   /**
-   * Corrects the estimate by a total of the present window.
+   * Corrects the estimate by a total of the current window.
    *
-   * @param callUnits the units that were reported with the call that returned the total
+   * @param callUnits the units that were reported by the call that returned the total
    * @param total the counter's total, in units
-   * @param unreportedUnits own use that has not been reported
-   * @param reportedFraction the reported fraction of own use; the others are assumed to report the
-   *     same fraction
+   * @param unreportedUnits this gateway's use that has not been reported
+   * @param reportedFraction the reported fraction of this gateway's use; the other gateways are
+   *     assumed to report the same fraction
    */
   void applyTotal(double callUnits, double total, double unreportedUnits, double reportedFraction) {
     double othersTotal = othersTotal(callUnits, total);
     if (clock.nanosSince(totalAtNanos) > windowNanos) {
-      // The estimate is too old: a full quota less this window's use is the better one.
+      // The estimate is outdated: a full quota less this window's use is more accurate.
       availableUnits = plan.burstUnits() - ownWindowUnits - unreportedUnits;
       othersUnitsSinceTotal = 0;
     }
@@ -143,7 +148,8 @@
     othersWindowUnits = othersTotal;
     divided = false;
     updateOthersRate(usedByOthers);
-    // What was forwarded beyond the quota took nothing from it, so it is not far below zero.
+    // Requests forwarded over the quota take no units from it, so the true value is not far below
+    // zero.
     availableUnits =
         Math.max(
             Math.min(plan.burstUnits(), availableUnits - usedByOthers + othersUnitsSinceTotal),
@@ -151,7 +157,10 @@
     othersUnitsSinceTotal = 0;
   }
 
-  /** The others' part of a total; after a loss of counts only what has been added since. */
+  /**
+   * Returns the units of a total that the other gateways reported. If the counter has lost counts,
+   * only units that were added after the loss are included.
+   */
   private double othersTotal(double callUnits, double total) {
     double others = total - ownWindowUnits;
     boolean countsLost =
@@ -177,8 +186,9 @@
   }
 
   /**
-   * Divides the quota among the gateways where the last total is too old. The part is at least one
-   * request, since a smaller part would reject all requests of customers with little traffic.
+   * Divides the quota among the gateways if the last total is outdated. The share is at least the
+   * largest request, as far as available: a smaller share would reject all requests of customers
+   * with little traffic.
    */
   void divideIfStale() {
     if (gateways <= 1 || isReliable()) {
@@ -191,17 +201,17 @@
     divided = true;
   }
 
-  /** Whether the quota is divided for lack of a recent total. */
+  /** Returns whether the quota is divided for lack of a recent total. */
   boolean isDivided() {
     return divided;
   }
 
-  /** Whether the last total still says something of what is left. */
+  /** Returns whether the last total is recent enough for the estimate: at most one window old. */
   boolean isReliable() {
     return clock.nanosSince(totalAtNanos) <= windowNanos;
   }
 
-  /** Whether the last total is so old that a new one is needed for a reliable decision. */
+  /** Returns whether the last total is so old that a reliable decision needs a new one. */
   boolean needsTotal() {
     return clock.nanosSince(totalAtNanos) > windowNanos / TOTALS_PER_WINDOW;
   }
@@ -210,17 +220,16 @@
     return availableUnits;
   }
 
-  /** The units that the others are expected to use in a time. */
+  /** Returns the units that the other gateways are expected to use in a time span. */
   double expectedOthersUnits(long nanos) {
     return othersUnitsPerSecond * nanos * Nanos.IN_SECONDS;
   }
 
-  /** When the last total was learnt. */
+  /** Returns when the last total was applied. */
   long totalAtNanos() {
     return totalAtNanos;
   }
 
-  /** The length of a window. */
   long windowNanos() {
     return windowNanos;
   }
--- a/src/main/java/merlinrouter/quota/HardLimitBucket.java
+++ b/src/main/java/merlinrouter/quota/HardLimitBucket.java
@@ -3,9 +3,9 @@
 import merlinrouter.settings.QuotaPlan;
 
 /**
- * The token bucket of a customer's hard limit. It has to hold whatever the other gateways do, so
- * each gateway keeps to its part of the rate and the burst. It starts empty: a restarted gateway
- * cannot know what it admitted before.
+ * Token bucket of a customer's hard limit. The limit must hold independently of the other gateways,
+ * so each gateway enforces its equal share of the rate and the burst. The bucket starts empty,
+ * because a restarted gateway has no record of the units that it admitted before.
  */
 final class HardLimitBucket {
   private final double fleetUnitsPerSecond;
@@ -23,12 +23,12 @@
     units = Math.min(capacityUnits, units + seconds * fleetUnitsPerSecond / gateways);
   }
 
-  /** Whether a request of some units would exceed the limit now. */
+  /** Returns whether a request of this many units would exceed the limit now. */
   boolean exceededBy(double requested) {
     return fleetUnitsPerSecond > 0 && units < requested;
   }
 
-  /** Seconds until a request that exceeds the limit would pass. */
+  /** Returns the seconds until a request that exceeds the limit now would be within it. */
   double secondsUntilAvailable(double requested) {
     return (requested - units) * gateways / fleetUnitsPerSecond;
   }
@@ -38,7 +38,10 @@
     units -= taken;
   }
 
-  /** Whether a new bucket could not hold more; a plan without a limit has nothing to hold. */
+  /**
+   * Returns whether the bucket is full, so that no new bucket could hold more. The bucket of a plan
+   * without a hard limit always counts as full.
+   */
   boolean isFull() {
     return fleetUnitsPerSecond <= 0 || units >= capacityUnits;
   }
--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -9,31 +9,37 @@
 import merlinrouter.time.Nanos;
 
 /**
- * The quota of one customer: decides on admission and reports use to the shared counter. Plan and
- * number of gateways are those of the customer's first request.
+ * Quota of one customer: decides on the admission of its requests and reports its use to the shared
+ * counter. Plan and number of gateways are those of the customer's first request.
  */
 final class QuotaAccount {
-  /** How often use is reported while less than half of the quota is left. */
+  /** Interval between reports of use while less than half of the quota is left. */
   static final long REPORT_INTERVAL_NANOS = Nanos.PER_SECOND / 4;
 
-  /** How often use is reported otherwise. */
+  /** Interval between reports of use while at least half of the quota is left. */
   private static final long RELAXED_REPORT_INTERVAL_NANOS = Nanos.PER_SECOND;
 
-  /** How long an account is kept after its last use, in addition to two windows. */
+  /** Time for which an account is kept after its last use, in addition to two windows. */
   private static final long RETENTION_NANOS = 30 * Nanos.PER_SECOND;
 
-  /** Less unreported use than this is rounding. */
+  /** Unreported use up to this amount is a rounding error and is not reported. */
   private static final double MIN_REPORT_UNITS = 1e-6;
 
-  /** Reports are whole millionths of a unit, so that totals stay exact over many of them. */
+  /** Reports are rounded to millionths of a unit, so that totals of many reports stay exact. */
   private static final double MICRO_UNITS_PER_UNIT = 1e6;
 
   private static final double UNITS_PER_MICRO_UNIT = 1e-6;
 
-  /** Time for a call to the counter, in its timeouts, that has to be left to the objective. */
+  /**
+   * A request waits for the counter only if more than this many call timeouts remain until its
+   * latency objective.
+   */
   private static final int MIN_CALL_TIMEOUTS_LEFT = 2;
 
-  /** Unreported use misleads the others as much as a missing total, but can wait. */
+  /**
+   * Relative priority of a report: unreported use distorts the estimates of the other gateways as
+   * much as a missing total distorts this one's, but a report can wait.
+   */
   private static final double REPORT_PRIORITY_FACTOR = 0.5;
 
   private final QuotaContext context;
@@ -70,11 +76,11 @@
             plan, gateways, settings.counter().maxRequestUnits(), hash(key), clock);
     hardLimit = new HardLimitBucket(plan, gateways);
     refilledAtNanos = context.startedAtNanos();
-    // Reports are spread in time: made at once they would overload the counter.
+    // The first report is due at a random time: simultaneous reports would overload the counter.
     reportDueAtNanos = clock.nowNanos() + context.random().nextLong(REPORT_INTERVAL_NANOS);
   }
 
-  /** Spreads numbers that lie close together over all long values. */
+  /** Maps consecutive numbers to values that are spread over the range of long. */
   private static long hash(long number) {
     return new SplittableRandom(number).nextLong();
   }
@@ -84,8 +90,9 @@
   }
 
   /**
-   * Decides on a request at once where the estimate is recent enough; otherwise its units are
-   * reported first and the counter's total decides.
+   * Decides on a request. If the estimate is not recent enough, and both the latency objective and
+   * the rate limiter allow a call to the counter, the units are reported first and the decision is
+   * based on the counter's total; otherwise it is made immediately.
    */
   void admit(QuotaReservation reservation) {
     refill();
@@ -111,7 +118,7 @@
     }
   }
 
-  /** Whether a decision without a recent total may be wrong, and a total can be had. */
+  /** Returns whether a decision needs a newer total, and the counter can provide one. */
   private boolean needsCounterTotal() {
     return plan.unitsPerSecond() > 0
         && !forwardsOverQuota()
@@ -120,7 +127,7 @@
         && !context.calls().isCounterSilent();
   }
 
-  /** Whether requests beyond the quota earn more than forwarding them costs. */
+  /** Returns whether requests over the quota earn more than forwarding them costs. */
   private boolean forwardsOverQuota() {
     return plan.overQuotaValue() > plan.overQuotaCost();
   }
@@ -130,7 +137,7 @@
     return clock.nowNanos() + neededNanos < reservation.objectiveAtNanos();
   }
 
-  /** Whether a recent total and the projection since say that the quota is used up. */
+  /** Returns whether a recent total and the projection since then show an exhausted quota. */
   private boolean isProbablyExhausted() {
     return estimate.isReliable() && estimate.availableUnits() < 0;
   }
@@ -142,8 +149,8 @@
   }
 
   /**
-   * Whether a request is a retry of a customer whose divided quota never holds its units: such a
-   * request was rejected before, and only a total could show that the quota is unused.
+   * Returns whether a request is a retry whose units exceed this gateway's share of the divided
+   * quota: it was rejected before, and only a total could show that the quota is unused.
    */
   private boolean isUnverifiableRetry(QuotaReservation reservation) {
     return estimate.isDivided()
@@ -151,16 +158,19 @@
         && plan.burstUnits() / gateways < reservation.units();
   }
 
-  /** Whether the quota lasts for what the others are expected to use until the next total. */
+  /**
+   * Returns whether the available units cover the expected use of the other gateways until the next
+   * total.
+   */
   private boolean coversOthersExpectedUse() {
     return estimate.availableUnits() >= estimate.expectedOthersUnits(REPORT_INTERVAL_NANOS);
   }
 
   /**
-   * Decides on a request whose units have been taken, and gives those of the quota back if it is
-   * beyond it.
+   * Decides on a request whose units have been taken. A request over the quota returns the units of
+   * the quota and keeps those of the hard limit.
    *
-   * @param quotaLeft whether the quota, less the request's units, is not used up
+   * @param quotaLeft whether the quota is sufficient for the request's units
    */
   private void decide(QuotaReservation reservation, boolean quotaLeft) {
     if (plan.unitsPerSecond() <= 0 || quotaLeft) {
@@ -178,7 +188,7 @@
     }
   }
 
-  /** Takes units from the quota, to be reported; negative units are given back. */
+  /** Takes units from the quota and schedules their report; negative units are given back. */
   void take(double units) {
     if (plan.unitsPerSecond() > 0) {
       planUsage.recordAdmitted(units);
@@ -190,8 +200,8 @@
   }
 
   /**
-   * Reports use that has not been reported, if a report is due and a call may be made. Use that is
-   * older than a window, or that no other gateway asks for, is not reported any more.
+   * Reports unreported use if a report is due and a call may be made. Use that is older than a
+   * window, or that is not shared with other gateways through a counter, is discarded instead.
    */
   void reportUse() {
     if (!hasReportableUse()) {
@@ -212,9 +222,9 @@
     long window = estimate.advanceToCurrentWindow();
     double units = Math.rint(unreportedUnits * MICRO_UNITS_PER_UNIT) * UNITS_PER_MICRO_UNIT;
     planUsage.recordReported(units);
-    boolean low = estimate.availableUnits() < plan.burstUnits() / 2;
+    boolean quotaLow = estimate.availableUnits() < plan.burstUnits() / 2;
     reportDueAtNanos =
-        clock.nowNanos() + (low ? REPORT_INTERVAL_NANOS : RELAXED_REPORT_INTERVAL_NANOS);
+        clock.nowNanos() + (quotaLow ? REPORT_INTERVAL_NANOS : RELAXED_REPORT_INTERVAL_NANOS);
     unreportedUnits = 0;
     callsInFlight++;
     long counterKey = hash(hash(key) + window) >>> 1;
@@ -231,7 +241,7 @@
       planUsage.recordReported(-call.units());
       context.accountsToReport().add(this);
     } else if (currentWindow) {
-      // Without an answer they may have been added; if not, the next total shows a loss of counts.
+      // Without an answer the units may have been added; if not, the next total shows lost counts.
       estimate.recordOwnReported(call.units());
     }
     refill();
@@ -241,7 +251,7 @@
     decideAfterCall(call, outcome == Outcome.OK);
   }
 
-  /** Decides on the request that waits for a call, if it still does. */
+  /** Decides on the request that waits for a call, unless it has been decided already. */
   void decideAfterCall(CounterCall call, boolean answered) {
     QuotaReservation reservation = call.reservation();
     if (reservation == null || !reservation.isAwaitingCounter()) {
@@ -253,7 +263,7 @@
     } else if (answered) {
       decide(reservation, estimate.availableUnits() >= 0);
       if (reservation.state() == QuotaReservation.State.OVER_QUOTA) {
-        // The others take what was reported for it for use until it is given back.
+        // The other gateways count the units reported for it as use until they are taken back.
         reportDueAtNanos = clock.nowNanos();
       }
     } else {
@@ -274,8 +284,8 @@
   }
 
   /**
-   * Whether one more request may be in flight. Nobody knows how many the other gateways have, so
-   * the plan's limit is divided, and each gateway may have one.
+   * Returns whether one more request may be in flight. The number in flight at other gateways is
+   * unknown, so the plan's limit is divided among the gateways, with at least one for each.
    */
   boolean mayForward() {
     int max = plan.maxConcurrentRequests();
@@ -301,8 +311,8 @@
   }
 
   /**
-   * Whether a new account would know as much. Many customers come only once, so such accounts are
-   * dropped.
+   * Returns whether a new account would hold the same information. Such accounts are dropped,
+   * because many customers send requests only once.
    */
   boolean isDisposable() {
     long idleNanos = clock.nanosSince(Math.max(lastUsedAtNanos, estimate.totalAtNanos()));
--- a/src/main/java/merlinrouter/quota/QuotaContext.java
+++ b/src/main/java/merlinrouter/quota/QuotaContext.java
@@ -6,14 +6,14 @@
 import merlinrouter.time.EventClock;
 
 /**
- * What the accounts of a gateway share.
+ * Settings, services and state that all accounts of a gateway share.
  *
  * @param settings the gateway's settings
  * @param startedAtNanos when the gateway started
- * @param clock the time
- * @param random the gateway's source of randomness
- * @param calls the calls to the shared counter
- * @param listener is notified of decisions on admission
+ * @param clock the time of the event that is being handled
+ * @param random the gateway's random generator
+ * @param calls tracks and limits the calls to the shared counter
+ * @param listener listener for admission decisions
  * @param accountsToReport accounts with use that has not been reported to the counter
  */
 record QuotaContext(
--- a/src/main/java/merlinrouter/quota/QuotaManager.java
+++ b/src/main/java/merlinrouter/quota/QuotaManager.java
@@ -15,8 +15,8 @@
 import merlinrouter.time.EventClock;
 
 /**
- * Decides on the admission of requests by their customers' quotas. Used by one thread; decisions
- * are reported to an {@link AdmissionListener}.
+ * Decides on the admission of requests according to their customers' quotas, and reports decisions
+ * to an {@link AdmissionListener}. Not thread-safe.
  */
 public final class QuotaManager {
   private final Map<Long, QuotaAccount> accounts = new LinkedHashMap<>();
@@ -28,9 +28,9 @@
   /**
    * Creates a manager without accounts.
    *
-   * @param counter makes calls to the shared counter
-   * @param log takes lines for operators
-   * @param random the gateway's source of randomness
+   * @param counter starts calls to the shared counter
+   * @param log receives log lines for operators
+   * @param random the gateway's random generator
    */
   public QuotaManager(
       GatewaySettings settings,
@@ -49,11 +49,11 @@
   }
 
   /**
-   * Opens a reservation, which takes nothing yet and has to be released at the request's end. The
-   * customer's plan and number of gateways are taken from the first request that is seen.
+   * Opens a reservation, which takes no units yet and must be released at the end of the request.
+   * The customer's plan and number of gateways are taken from its first request.
    *
    * @param request a request whose plan exists
-   * @param objectiveAtNanos moment up to which a response earns the full value
+   * @param objectiveAtNanos latest moment at which a response earns the full value
    */
   public QuotaReservation open(
       ClientRequest request, RequestClass requestClass, long objectiveAtNanos) {
@@ -66,12 +66,12 @@
     return new QuotaReservation(account, request, requestClass, objectiveAtNanos);
   }
 
-  /** Decides on a request, or calls the counter first; the listener is notified in either case. */
+  /** Decides on a request or calls the counter first; notifies the listener in either case. */
   public void admit(QuotaReservation reservation) {
     reservation.account().admit(reservation);
   }
 
-  /** Handles the end of a call to the counter; returns whether such a call was under way. */
+  /** Handles the end of a call to the counter; returns whether such a call was in flight. */
   public boolean counterCallEnded(long counterKey, Outcome outcome, double total) {
     CounterCall call = calls.end(counterKey, outcome);
     if (call == null) {
@@ -81,24 +81,27 @@
     return true;
   }
 
-  /** Decides without an answer where a host never ended a call: each request is owed a response. */
+  /**
+   * Decides on requests whose calls to the counter the host has not ended in time, as if the calls
+   * had failed: each request must get a response.
+   */
   public void decideOverdueAdmissions() {
     calls.forEachOverdue(call -> call.account().decideAfterCall(call, false));
   }
 
-  /** Reports use to the counter, as far as reports are due and calls may be made. */
+  /** Reports use to the counter for all accounts whose report is due and allowed. */
   public void reportUse() {
     for (QuotaAccount account : List.copyOf(accountsToReport)) {
       account.reportUse();
     }
   }
 
-  /** Drops accounts that a new account would equal. */
+  /** Drops accounts that hold no more information than a new account would. */
   public void dropDisposableAccounts() {
     accounts.values().removeIf(QuotaAccount::isDisposable);
   }
 
-  /** How many accounts are kept. */
+  /** Returns the number of accounts that are kept. */
   public int accountCount() {
     return accounts.size();
   }
--- a/src/main/java/merlinrouter/quota/QuotaReservation.java
+++ b/src/main/java/merlinrouter/quota/QuotaReservation.java
@@ -4,19 +4,20 @@
 import merlinrouter.settings.RequestClass;
 
 /**
- * What one request holds of its customer's quota, from its arrival to its end: units, and a place
- * among the customer's requests in flight. Used by one thread.
+ * The share of its customer's quota that one request holds from its arrival to its end: units and,
+ * once it is forwarded, a slot among the customer's requests in flight. Not thread-safe.
  *
- * <p>Units are taken from hard limit and quota before the decision, so that requests that wait for
- * the counter count against each other. Those of the quota are given back if the request turns out
- * to be beyond it; all are given back with the release of a request that was never forwarded.
+ * <p>Units are taken from the hard limit and the quota before the decision, so that requests that
+ * wait for the counter count against each other. The units of the quota are given back if the
+ * request is found to be over it; all units are given back on the release of a request that was
+ * never forwarded.
  */
 public final class QuotaReservation {
-  /** What is held, and whether it has been decided on. */
+  /** State of the decision, which determines the units that are held. */
   enum State {
-    /** Nothing has been taken. */
+    /** No units have been taken. */
     OPENED,
-    /** Units were taken from hard limit and quota; nothing was decided. */
+    /** Units were taken from the hard limit and the quota; there is no decision yet. */
     UNDECIDED,
     /** As {@link #UNDECIDED}; the decision waits for the counter. */
     AWAITING_COUNTER,
@@ -24,7 +25,7 @@
     ABANDONED,
     /** The request is within the quota and holds its units. */
     WITHIN_QUOTA,
-    /** The request is beyond the quota; it holds units of the hard limit only. */
+    /** The request is over the quota; it holds units of the hard limit only. */
     OVER_QUOTA;
 
     boolean holdsHardLimitUnits() {
@@ -54,17 +55,20 @@
     this.objectiveAtNanos = objectiveAtNanos;
   }
 
-  /** The id of the request. */
+  /** Returns the id of the request. */
   public String requestId() {
     return request.id();
   }
 
-  /** The value factor of the customer's plan. */
+  /** Returns the value factor of the customer's plan. */
   public double planValueFactor() {
     return account.plan().valueFactor();
   }
 
-  /** Value of the request: its class's weight times its plan's factor, less beyond the quota. */
+  /**
+   * Returns the value of the request: the weight of its class times the value factor of its plan.
+   * Over the quota, this is multiplied by the plan's over-quota value less its over-quota cost.
+   */
   public double value() {
     double fraction =
         state == State.OVER_QUOTA
@@ -73,12 +77,12 @@
     return requestClass.priorityWeight() * account.plan().valueFactor() * fraction;
   }
 
-  /** Whether the customer may have one more request in flight. */
+  /** Returns whether the customer may have one more request in flight. */
   public boolean mayForward() {
     return account.mayForward();
   }
 
-  /** Records that an attempt of the request starts. */
+  /** Records that an attempt of the request is started. */
   public void markForwarded() {
     if (!forwarded) {
       forwarded = true;
@@ -86,14 +90,14 @@
     }
   }
 
-  /** Replaces the units that the request holds of the quota by those that it really used. */
+  /** Corrects the units that the request holds of the quota to the units that it actually used. */
   public void settle(double actualUnits) {
     if (state.holdsQuotaUnits()) {
       account.take(actualUnits - request.units());
     }
   }
 
-  /** Records that the client has disconnected while a call to the counter is under way. */
+  /** Records that the client has disconnected while the decision waits for the counter. */
   public void abandon() {
     state = State.ABANDONED;
   }
@@ -115,7 +119,7 @@
     return requestClass;
   }
 
-  /** The moment up to which a response earns the full value. */
+  /** Returns the latest moment at which a response earns the full value. */
   long objectiveAtNanos() {
     return objectiveAtNanos;
   }
@@ -136,7 +140,7 @@
     state = newState;
   }
 
-  /** Whether the decision waits for the counter, and whether or not the client still does. */
+  /** Returns whether the decision waits for the counter, also if the client has disconnected. */
   boolean isAwaitingCounter() {
     return state == State.AWAITING_COUNTER || state == State.ABANDONED;
   }
