--- a/src/test/java/merlinrouter/quota/CounterCallPriorityTest.java
+++ b/src/test/java/merlinrouter/quota/CounterCallPriorityTest.java
@@ -11,7 +11,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** Which decisions are worth a call to the counter most. */
+/** Tests the priorities of calls to the counter before decisions. */
 class CounterCallPriorityTest {
   private static final QuotaPlan PLAN = TestSettings.quota(10, 30);
   private static final int GATEWAYS = 4;
--- a/src/test/java/merlinrouter/quota/CounterCallRateLimiterTest.java
+++ b/src/test/java/merlinrouter/quota/CounterCallRateLimiterTest.java
@@ -11,14 +11,14 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** Which calls to the counter may be made. */
+/** Tests which calls to the counter are allowed, and how their rate adapts. */
 class CounterCallRateLimiterTest {
   private static final double HIGH_PRIORITY = 10;
 
   private final EventClock clock = new EventClock(0);
   private final CounterHealth health = new CounterHealth(clock);
 
-  /** One of a hundred gateways starts with 2 calls a second and saves up 4. */
+  /** One of 100 gateways: initially 2 calls per second, and a bucket of 4 tokens. */
   private final CounterCallRateLimiter limiter =
       new CounterCallRateLimiter(100, health, clock, new SplittableRandom(1));
 
@@ -35,13 +35,13 @@
   @Test
   void requiredPriorityRisesAsTokensRunOut() {
     clock.advanceTo(10 * PER_SECOND);
-    assertTrue(limiter.tryAcquire(0), "of 4 saved calls any may take one");
+    assertTrue(limiter.tryAcquire(0), "with 4 tokens, a call of any priority is allowed");
     assertFalse(limiter.tryAcquire(0.4));
     assertTrue(limiter.tryAcquire(0.5));
     assertTrue(limiter.tryAcquire(1));
     assertFalse(limiter.tryAcquire(1.4));
     assertTrue(limiter.tryAcquire(1.5));
-    assertFalse(limiter.tryAcquire(HIGH_PRIORITY), "none is left");
+    assertFalse(limiter.tryAcquire(HIGH_PRIORITY), "no token is left");
   }
 
   @Test
@@ -60,8 +60,11 @@
     int slow = callsIn(20);
     endCalls(Outcome.OK, 5 * PER_MILLI);
     int fast = callsIn(20);
-    assertTrue(slow < before, slow + " after " + before);
-    assertTrue(fast > slow, fast + " after " + slow);
+    assertTrue(
+        slow < before,
+        "expected fewer than " + before + " calls in 20 s after slow calls, got " + slow);
+    assertTrue(
+        fast > slow, "expected more than " + slow + " calls in 20 s after fast calls, got " + fast);
   }
 
   private void endCalls(Outcome outcome, long durationNanos) {
@@ -93,12 +96,14 @@
       limiter.callEnded(Outcome.OK, 5 * PER_MILLI, 50 * PER_MILLI);
     }
     int fast = callsIn(1);
-    assertTrue(fast >= 40, fast + " calls a second");
+    assertTrue(fast >= 40, fast + " calls per second, at least 40 expected");
     limiter.callEnded(Outcome.OK, 30 * PER_MILLI, 50 * PER_MILLI);
     int before = callsIn(1);
     callsIn(1);
     limiter.callEnded(Outcome.OK, 5 * PER_MILLI, 50 * PER_MILLI);
     int after = callsIn(1);
-    assertTrue(after <= 1.3 * before, after + " calls a second after " + before);
+    assertTrue(
+        after <= 1.3 * before,
+        after + " calls per second after a fast call, at most 1.3 times " + before + " allowed");
   }
 }
--- a/src/test/java/merlinrouter/quota/CounterHealthTest.java
+++ b/src/test/java/merlinrouter/quota/CounterHealthTest.java
@@ -7,7 +7,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** When the counter counts as silent. */
+/** Tests when the counter is considered silent. */
 class CounterHealthTest {
   private final EventClock clock = new EventClock(0);
   private final CounterHealth health = new CounterHealth(clock);
@@ -26,10 +26,10 @@
     clock.advanceTo(600 * PER_MILLI);
     assertFalse(health.recordCall(false));
     assertFalse(health.recordCall(false));
-    assertTrue(health.recordCall(false), "falls silent");
-    assertFalse(health.recordCall(false), "is silent already");
+    assertTrue(health.recordCall(false), "the third unanswered call makes the counter silent");
+    assertFalse(health.recordCall(false), "the counter was already silent");
     assertTrue(health.isSilent());
-    assertTrue(health.recordCall(true), "answers again");
+    assertTrue(health.recordCall(true), "an answer ends the silence");
     assertFalse(health.isSilent());
   }
 }
--- a/src/test/java/merlinrouter/quota/EventQueue.java
+++ b/src/test/java/merlinrouter/quota/EventQueue.java
@@ -2,13 +2,14 @@
 
 import java.util.PriorityQueue;
 
-/** Runs actions in the order of their simulated times; equal times in the order of their entry. */
+/** Runs actions in the order of their simulated times, at equal times in order of scheduling. */
 final class EventQueue {
-  private record Event(long atNanos, long number, Runnable action) implements Comparable<Event> {
+  private record Event(long atNanos, long sequenceNumber, Runnable action)
+      implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       int byTime = Long.compare(atNanos, other.atNanos);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+      return byTime != 0 ? byTime : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
--- a/src/test/java/merlinrouter/quota/FleetQuotaEstimateTest.java
+++ b/src/test/java/merlinrouter/quota/FleetQuotaEstimateTest.java
@@ -9,7 +9,7 @@
 import merlinrouter.time.EventClock;
 import org.junit.jupiter.api.Test;
 
-/** What totals of the counter say of a customer's quota. */
+/** Tests the estimate of a customer's quota and its correction by totals of the counter. */
 class FleetQuotaEstimateTest {
   private static final double TOLERANCE = 1e-9;
   private static final double ALL_REPORTED = 1;
@@ -69,7 +69,9 @@
     clock.advanceTo(7 * PER_SECOND);
     estimate.applyTotal(0, 8, 0, ALL_REPORTED);
     double projected = estimate.expectedOthersUnits(PER_SECOND);
-    assertTrue(projected > 0 && projected <= 8, "projected " + projected);
+    assertTrue(
+        projected > 0 && projected <= 8,
+        "projected use is " + projected + " units, above 0 and at most 8 expected");
     estimate.refill(1);
     assertEquals(30 - 8 + 10 - projected, estimate.availableUnits(), TOLERANCE);
   }
--- a/src/test/java/merlinrouter/quota/HardLimitBucketTest.java
+++ b/src/test/java/merlinrouter/quota/HardLimitBucketTest.java
@@ -8,11 +8,11 @@
 import merlinrouter.settings.QuotaPlan;
 import org.junit.jupiter.api.Test;
 
-/** A gateway's part of a hard limit. */
+/** Tests a gateway's share of a hard limit. */
 class HardLimitBucketTest {
   private static final QuotaPlan PLAN = new QuotaPlan(5, 20, 0, 1, 0, 1, 8, 32, 4);
 
-  /** One of four gateways has 2 of 8 units a second, and 8 of 32 units. */
+  /** One of four gateways: its share is 2 of 8 units per second, and 8 of 32 burst units. */
   private final HardLimitBucket bucket = new HardLimitBucket(PLAN, 4);
 
   @Test
--- a/src/test/java/merlinrouter/quota/PlanUsageTest.java
+++ b/src/test/java/merlinrouter/quota/PlanUsageTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The part of the admitted units that was reported. */
+/** Tests the reported fraction of the admitted units. */
 class PlanUsageTest {
   private final PlanUsage usage = new PlanUsage(4);
 
--- a/src/test/java/merlinrouter/quota/QuotaFleetTest.java
+++ b/src/test/java/merlinrouter/quota/QuotaFleetTest.java
@@ -10,21 +10,21 @@
 import merlinrouter.quota.SimulatedQuotaFleet.Result;
 import org.junit.jupiter.api.Test;
 
-/** Quotas of a whole fleet against exact token buckets. */
+/** Compares the quotas of a simulated fleet with exact token buckets. */
 class QuotaFleetTest {
   private static final int GATEWAYS = 96;
   private static final double COUNTER_CALLS_PER_SECOND = 960;
 
-  /** Of the admitted requests, what is rejected afterwards for other reasons than the quota. */
+  /** Fraction of the admitted requests that is rejected later for reasons other than the quota. */
   private static final double SHED_FRACTION = 0.3;
 
   private static final double SECONDS = 25;
   private static final int SEEDS = 6;
 
-  /** The target of what traffic beyond the quotas costs, of the value within them. */
+  /** Target: cost of traffic over quota, as a fraction of the value offered within the quotas. */
   private static final double MAX_OVER_QUOTA_COST_RATIO = 0.12;
 
-  /** As much as the price may be at most where the counter is never silent. */
+  /** Limit with a counter outage: the highest ratio that is allowed without any outage. */
   private static final double MAX_OVER_QUOTA_COST_RATIO_WITH_OUTAGE = 0.19;
 
   private static SimulatedQuotaFleet fleet(long seed) {
@@ -32,7 +32,7 @@
         CustomerPopulation.PLANS, GATEWAYS, COUNTER_CALLS_PER_SECOND, SHED_FRACTION, seed);
   }
 
-  /** The counter stood half idle while gateways admitted without its totals. */
+  /** Guards against gateways that admit without totals although the counter is half idle. */
   @Test
   void manyCustomersOnABusyCounterStayWithinTheirQuotas() {
     double costRatio = 0;
@@ -41,7 +41,13 @@
           fleet(seed).run(CustomerPopulation.mixed(GATEWAYS, seed), SECONDS).overQuotaCostRatio()
               / SEEDS;
     }
-    assertTrue(costRatio <= MAX_OVER_QUOTA_COST_RATIO, "price of traffic over quota " + costRatio);
+    assertTrue(
+        costRatio <= MAX_OVER_QUOTA_COST_RATIO,
+        "over-quota cost ratio is "
+            + costRatio
+            + ", at most "
+            + MAX_OVER_QUOTA_COST_RATIO
+            + " allowed");
   }
 
   @Test
--- a/src/test/java/merlinrouter/quota/SimulatedCounter.java
+++ b/src/test/java/merlinrouter/quota/SimulatedCounter.java
@@ -6,20 +6,20 @@
 import merlinrouter.model.Outcome;
 import merlinrouter.time.Nanos;
 
-/** A shared counter of bounded capacity: its parts serve calls in turn, each at a steady rate. */
+/** A shared counter of limited capacity; each shard serves its calls in order at a fixed rate. */
 final class SimulatedCounter {
-  /** Takes the end of a call. */
+  /** Receives the end of a call. */
   interface Caller {
     void callEnded(Outcome outcome, double total);
   }
 
-  /** How a counter behaves while it does not serve. */
+  /** Whether the counter serves calls or does not answer them. */
   enum State {
     SERVING,
     SILENT
   }
 
-  /** Mean time from a gateway to the counter or back; most of it is the gateway's own. */
+  /** Mean one-way latency between gateway and counter; most of it is spent in the gateway. */
   private static final double ONE_WAY_MEAN_NANOS = 6.0 * Nanos.PER_MILLI;
 
   private static final long RANDOM_SEED = 11;
@@ -33,13 +33,13 @@
   private final Map<Long, Double> totals = new HashMap<>();
   private State state = State.SERVING;
   private long calls;
-  private long unanswered;
+  private long failedCalls;
 
   /**
    * Creates a counter without any totals.
    *
-   * @param callsPerSecond what all parts serve together
-   * @param timeoutNanos when a caller gives a call up; it is counted all the same
+   * @param callsPerSecond capacity of all shards together
+   * @param timeoutNanos time after which a caller gives up a call; a served call is counted anyway
    */
   SimulatedCounter(EventQueue events, double callsPerSecond, int shards, long timeoutNanos) {
     this.events = events;
@@ -61,8 +61,8 @@
     return calls;
   }
 
-  long unanswered() {
-    return unanswered;
+  long failedCalls() {
+    return failedCalls;
   }
 
   /** A gateway's connection, on which calls arrive and are answered in their order. */
@@ -70,7 +70,7 @@
     private long lastArrivalNanos;
     private long lastAnswerNanos;
 
-    /** Makes a call; its end is reported in any case. */
+    /** Starts a call; its end is always reported. */
     void add(long key, double units, Caller caller) {
       calls++;
       long sentNanos = events.nowNanos();
@@ -84,7 +84,7 @@
       if (state == State.SILENT) {
         timeOut(sentNanos, caller);
       } else if (startNanos - events.nowNanos() > maxQueueNanos) {
-        unanswered++;
+        failedCalls++;
         answer(() -> caller.callEnded(Outcome.REJECTED, 0));
       } else {
         busyUntilNanos[shard] = startNanos + serviceNanos;
@@ -107,7 +107,7 @@
     }
 
     private void timeOut(long sentNanos, Caller caller) {
-      unanswered++;
+      failedCalls++;
       lastAnswerNanos =
           Math.max(lastAnswerNanos, Math.max(events.nowNanos(), sentNanos + timeoutNanos));
       events.schedule(lastAnswerNanos, () -> caller.callEnded(Outcome.TIMEOUT, 0));
--- a/src/test/java/merlinrouter/quota/SimulatedQuotaFleet.java
+++ b/src/test/java/merlinrouter/quota/SimulatedQuotaFleet.java
@@ -17,15 +17,15 @@
 import merlinrouter.time.EventClock;
 
 /**
- * A fleet of gateways' quota managers on one shared counter, in simulated time. Each forwarded
- * request is held against an exact token bucket of its customer.
+ * The quota managers of a fleet of gateways with one shared counter, in simulated time. Each
+ * forwarded request is checked against an exact token bucket of its customer.
  */
 final class SimulatedQuotaFleet {
   private static final long TIMER_INTERVAL_NANOS = 10 * PER_MILLI;
   private static final long COUNTER_TIMEOUT_NANOS = 50 * PER_MILLI;
   private static final long SERVICE_NANOS = 300 * PER_MILLI;
 
-  /** What clients do with a rejection. */
+  /** Most retries of a client after rejections. */
   private static final int MAX_RETRIES = 3;
 
   private static final double RETRY_PROBABILITY = 0.8;
@@ -33,18 +33,18 @@
   private static final long RETRY_BACKOFF_NANOS = 66 * PER_MILLI;
   private static final double MAX_RETRY_AFTER_SECONDS = 0.5;
 
-  /** How unevenly a customer's requests come to the gateways: deviation of the weights' log. */
+  /** Standard deviation of the logarithm of the weights of a customer's gateways. */
   private static final double WEIGHT_DEVIATION = 1.4;
 
   /**
    * A customer.
    *
    * @param planIndex index of the plan
-   * @param unitsPerSecond the rate of first tries by the time in seconds; each is of one unit
+   * @param unitsPerSecond rate of new requests, of one unit each, as a function of time in seconds
    */
   record Customer(int planIndex, DoubleUnaryOperator unitsPerSecond) {}
 
-  /** What a run gave. */
+  /** Results of a run. */
   static final class Result {
     long tries;
     long forwarded;
@@ -56,19 +56,22 @@
     double offeredValue;
     double servedValue;
     double callsPerSecond;
-    double unansweredFraction;
+    double failedCallFraction;
 
-    /** Forwarded beyond the quota, as a fraction of all forwarded requests. */
-    double overAdmission() {
+    /** Returns the requests forwarded over quota, as a fraction of all forwarded requests. */
+    double overAdmittedFraction() {
       return forwardedOverQuota / (double) Math.max(1, forwarded);
     }
 
-    /** Rejected though the exact bucket held the request's units, of all tries that it held. */
-    double wrongRejection() {
+    /**
+     * Returns the requests rejected within the quota according to the exact bucket, as a fraction
+     * of all requests within it.
+     */
+    double wronglyRejectedFraction() {
       return rejectedWithinQuota / (double) Math.max(1, triesWithinQuota);
     }
 
-    /** What was forwarded beyond the quotas costs, as a fraction of the value within them. */
+    /** Returns the cost of requests over quota, as a fraction of the value offered within it. */
     double overQuotaCostRatio() {
       return overQuotaCost / offeredValue;
     }
@@ -80,16 +83,16 @@
     @Override
     public String toString() {
       return String.format(
-          "price %.3f served %.3f over %.3f wrong %.3f forwarded %d rejected %d calls/s %.0f"
-              + " unanswered %.3f",
+          "over-quota cost %.3f, served %.3f, over-admitted %.3f, wrongly rejected %.3f,"
+              + " forwarded %d, rejected %d, counter calls/s %.0f, failed %.3f",
           overQuotaCostRatio(),
           servedFraction(),
-          overAdmission(),
-          wrongRejection(),
+          overAdmittedFraction(),
+          wronglyRejectedFraction(),
           forwarded,
           rejected,
           callsPerSecond,
-          unansweredFraction);
+          failedCallFraction);
     }
   }
 
@@ -126,20 +129,20 @@
   }
 
   private GatewaySettings settings(int gatewayCount, int gatewayNumber) {
-    GatewaySettings base =
+    GatewaySettings defaults =
         TestSettings.gateway(plans.get(0), gatewayCount, gatewayNumber, true, false);
     return new GatewaySettings(
-        base.gatewayNumber(),
-        base.gatewayCount(),
-        base.zone(),
-        base.eventIntervalNanos(),
-        base.weightsMeaningful(),
-        base.loadReportNames(),
-        base.requestClasses(),
+        defaults.gatewayNumber(),
+        defaults.gatewayCount(),
+        defaults.zone(),
+        defaults.eventIntervalNanos(),
+        defaults.weightsMeaningful(),
+        defaults.loadReportNames(),
+        defaults.requestClasses(),
         plans,
-        base.limits(),
+        defaults.limits(),
         new CounterSettings(true, COUNTER_TIMEOUT_NANOS, false, 1),
-        base.rules());
+        defaults.rules());
   }
 
   Result run(List<Customer> customers, double seconds) {
@@ -151,11 +154,11 @@
     }
     events.runUntil(PER_SECOND + (long) (seconds * PER_SECOND));
     result.callsPerSecond = counter.calls() / seconds;
-    result.unansweredFraction = counter.unanswered() / (double) Math.max(1, counter.calls());
+    result.failedCallFraction = counter.failedCalls() / (double) Math.max(1, counter.calls());
     return result;
   }
 
-  /** The exact bucket of a customer. */
+  /** Exact token bucket of a customer over the whole fleet. */
   private final class ExactBucket {
     private final QuotaPlan plan;
     private double units;
@@ -174,13 +177,13 @@
     }
 
     boolean take(double requested) {
-      boolean held = holds(requested);
-      units -= held ? requested : 0;
-      return held;
+      boolean sufficient = holds(requested);
+      units -= sufficient ? requested : 0;
+      return sufficient;
     }
   }
 
-  /** The requests of one customer. */
+  /** Sends the requests of one customer and its retries. */
   private final class Traffic {
     private final int number;
     private final Customer customer;
@@ -207,21 +210,21 @@
     }
 
     void scheduleNext() {
-      double now = (events.nowNanos() - PER_SECOND) / (double) PER_SECOND;
-      double rate = customer.unitsPerSecond().applyAsDouble(now);
+      double nowSeconds = (events.nowNanos() - PER_SECOND) / (double) PER_SECOND;
+      double rate = customer.unitsPerSecond().applyAsDouble(nowSeconds);
       double maxRate = 10 * plan.unitsPerSecond();
-      double wait = -Math.log(1 - random.nextDouble()) / maxRate;
+      double waitSeconds = -Math.log(1 - random.nextDouble()) / maxRate;
       events.schedule(
-          events.nowNanos() + (long) (wait * PER_SECOND),
+          events.nowNanos() + (long) (waitSeconds * PER_SECOND),
           () -> {
             scheduleNext();
             if (random.nextDouble() * maxRate < rate) {
-              firstTry();
+              sendNewRequest();
             }
           });
     }
 
-    private void firstTry() {
+    private void sendNewRequest() {
       if (offered.take(1)) {
         result.offeredValue += plan.valueFactor();
       }
@@ -229,10 +232,10 @@
     }
 
     private int randomGateway() {
-      double left = random.nextDouble() * weightSum;
+      double remainingWeight = random.nextDouble() * weightSum;
       for (int i = 0; i < weights.length; i++) {
-        left -= weights[i];
-        if (left < 0) {
+        remainingWeight -= weights[i];
+        if (remainingWeight < 0) {
           return (number * 7 + i) % gateways.size();
         }
       }
@@ -251,19 +254,19 @@
       if (tries >= MAX_RETRIES || random.nextDouble() > RETRY_PROBABILITY) {
         return;
       }
-      long wait =
+      long waitNanos =
           Math.max(
               RETRY_BACKOFF_NANOS,
               (long) (Math.min(MAX_RETRY_AFTER_SECONDS, retryAfterSeconds) * PER_SECOND));
-      boolean elsewhere = random.nextDouble() < OTHER_GATEWAY_PROBABILITY;
-      int next = elsewhere ? randomGateway() : gateway;
-      events.schedule(events.nowNanos() + wait, () -> send(next, tries + 1));
+      boolean otherGateway = random.nextDouble() < OTHER_GATEWAY_PROBABILITY;
+      int next = otherGateway ? randomGateway() : gateway;
+      events.schedule(events.nowNanos() + waitNanos, () -> send(next, tries + 1));
     }
   }
 
   private record Pending(Traffic traffic, int gateway, int tries, QuotaReservation reservation) {}
 
-  /** One gateway's quota manager, and what is left of the gateway around it. */
+  /** One gateway's quota manager with a minimal simulation of the rest of the gateway. */
   private final class Gateway implements AdmissionListener {
     private final EventClock clock = new EventClock(events.nowNanos());
     private final SimulatedCounter.Connection connection = counter.new Connection();
@@ -317,8 +320,8 @@
 
     @Override
     public void admitted(QuotaReservation reservation) {
-      long wait = (long) (random.nextDouble() * SERVICE_NANOS);
-      events.schedule(events.nowNanos() + wait, () -> dispatch(reservation));
+      long waitNanos = (long) (random.nextDouble() * SERVICE_NANOS);
+      events.schedule(events.nowNanos() + waitNanos, () -> dispatch(reservation));
     }
 
     private void dispatch(QuotaReservation reservation) {
