--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -71,8 +71,8 @@
     availableUnits = plan.burstUnits();
     double refillSeconds =
         plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 1;
-    // Within this time the refill equals one burst, so the total of one window suffices for a
-    // gateway that has not received requests of the customer before.
+    // Unless a bound applies, one burst refills in a window, so the window's total is sufficient
+    // for a gateway that has not received requests of the customer before.
     windowNanos =
         (long)
             (Math.min(MAX_WINDOW_SECONDS, Math.max(MIN_WINDOW_SECONDS, refillSeconds))
