--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -9,31 +9,37 @@
 import merlinrouter.time.Nanos;
 
 /**
- * The quota of one customer: decides on admission and reports use to the shared counter. Plan and
- * number of gateways are those of the customer's first request.
+ * Quota of one customer: decides on the admission of its requests and reports its use to the shared
+ * counter. Plan and number of gateways are those of the customer's first request.
  */
 final class QuotaAccount {
-  /** How often use is reported while less than half of the quota is left. */
+  /** Interval between reports of use while less than half of the quota is left. */
   static final long REPORT_INTERVAL_NANOS = Nanos.PER_SECOND / 4;
 
-  /** How often use is reported otherwise. */
+  /** Interval between reports of use while at least half of the quota is left. */
   private static final long RELAXED_REPORT_INTERVAL_NANOS = Nanos.PER_SECOND;
 
-  /** How long an account is kept after its last use, in addition to two windows. */
+  /** Time for which an account is kept after its last use, in addition to two windows. */
   private static final long RETENTION_NANOS = 30 * Nanos.PER_SECOND;
 
-  /** Less unreported use than this is rounding. */
+  /** Unreported use up to this amount is a rounding error and is not reported. */
   private static final double MIN_REPORT_UNITS = 1e-6;
 
-  /** Reports are whole millionths of a unit, so that totals stay exact over many of them. */
+  /** Reports are rounded to millionths of a unit, so that totals of many reports stay exact. */
   private static final double MICRO_UNITS_PER_UNIT = 1e6;
 
   private static final double UNITS_PER_MICRO_UNIT = 1e-6;
 
-  /** Time for a call to the counter, in its timeouts, that has to be left to the objective. */
-  private static final int CALL_TIMEOUTS_NEEDED = 2;
+  /**
+   * A request waits for the counter only if more than this many call timeouts remain until its
+   * latency objective.
+   */
+  private static final int MIN_CALL_TIMEOUTS_LEFT = 2;
 
-  /** Unreported use misleads the others as much as a missing total, but can wait. */
+  /**
+   * Relative priority of a report: unreported use distorts the estimates of the other gateways as
+   * much as a missing total distorts this one's, but a report can wait.
+   */
   private static final double REPORT_PRIORITY_FACTOR = 0.5;
 
   private final QuotaContext context;
@@ -48,12 +54,12 @@
   private final HardLimitBucket hardLimit;
   private long refilledAtNanos;
   private long reportDueAtNanos;
-  private long usedAtNanos;
+  private long lastUsedAtNanos;
   private double unreportedUnits;
   private double reportPriority;
   private int requestsInFlight;
   private int openRequests;
-  private int callsUnderWay;
+  private int callsInFlight;
 
   QuotaAccount(QuotaContext context, ClientRequest firstRequest, PlanUsage planUsage) {
     GatewaySettings settings = context.settings();
@@ -67,15 +73,15 @@
     callPriority = new CounterCallPriority(plan, gateways, settings.gatewayCount());
     estimate =
         new FleetQuotaEstimate(
-            plan, gateways, settings.counter().maxRequestUnits(), spread(key), clock);
+            plan, gateways, settings.counter().maxRequestUnits(), hash(key), clock);
     hardLimit = new HardLimitBucket(plan, gateways);
     refilledAtNanos = context.startedAtNanos();
-    // Reports are spread in time: made at once they would overload the counter.
+    // The first report is due at a random time: simultaneous reports would overload the counter.
     reportDueAtNanos = clock.nowNanos() + context.random().nextLong(REPORT_INTERVAL_NANOS);
   }
 
-  /** Spreads numbers that lie close together over all long values. */
-  private static long spread(long number) {
+  /** Maps consecutive numbers to values that are spread over the range of long. */
+  private static long hash(long number) {
     return new SplittableRandom(number).nextLong();
   }
 
@@ -84,23 +90,26 @@
   }
 
   /**
-   * Decides on a request at once where the estimate is recent enough; otherwise its units are
-   * reported first and the counter's total decides.
+   * Decides on a request. If the estimate is not recent enough, and both the latency objective and
+   * the rate limiter allow a call to the counter, the units are reported first and the decision is
+   * based on the counter's total; otherwise it is made immediately.
    */
   void admit(QuotaReservation reservation) {
     refill();
     double units = reservation.units();
     if (hardLimit.exceededBy(units)) {
-      context.listener().rejected(reservation, hardLimit.secondsUntil(units));
+      context.listener().rejected(reservation, hardLimit.secondsUntilAvailable(units));
       return;
     }
     hardLimit.take(units);
     take(units);
     reservation.setState(QuotaReservation.State.UNDECIDED);
     double priority =
-        context.calls().normalizePriority(callPriority.of(reservation, isProbablyUsedUp()));
+        context.calls().normalizePriority(callPriority.of(reservation, isProbablyExhausted()));
     reportPriority = priority * REPORT_PRIORITY_FACTOR;
-    if (wantsTotal() && canWaitForCounter(reservation) && context.calls().tryAcquire(priority)) {
+    if (needsCounterTotal()
+        && canWaitForCounter(reservation)
+        && context.calls().tryAcquire(priority)) {
       reservation.setState(QuotaReservation.State.AWAITING_COUNTER);
       callCounter(reservation);
       context.listener().deferred(reservation);
@@ -109,39 +118,39 @@
     }
   }
 
-  /** Whether a decision without a recent total may be wrong, and a total can be had. */
-  private boolean wantsTotal() {
+  /** Returns whether a decision needs a newer total, and the counter can provide one. */
+  private boolean needsCounterTotal() {
     return plan.unitsPerSecond() > 0
-        && !forwardsBeyondQuota()
+        && !forwardsOverQuota()
         && estimate.needsTotal()
         && sharesCounter
         && !context.calls().isCounterSilent();
   }
 
-  /** Whether requests beyond the quota earn more than forwarding them costs. */
-  private boolean forwardsBeyondQuota() {
+  /** Returns whether requests over the quota earn more than forwarding them costs. */
+  private boolean forwardsOverQuota() {
     return plan.overQuotaValue() > plan.overQuotaCost();
   }
 
   private boolean canWaitForCounter(QuotaReservation reservation) {
-    long neededNanos = CALL_TIMEOUTS_NEEDED * context.settings().counter().timeoutNanos();
+    long neededNanos = MIN_CALL_TIMEOUTS_LEFT * context.settings().counter().timeoutNanos();
     return clock.nowNanos() + neededNanos < reservation.objectiveAtNanos();
   }
 
-  /** Whether a recent total and the projection since say that the quota is used up. */
-  private boolean isProbablyUsedUp() {
+  /** Returns whether a recent total and the projection since then show an exhausted quota. */
+  private boolean isProbablyExhausted() {
     return estimate.isReliable() && estimate.availableUnits() < 0;
   }
 
   private void decideWithoutTotal(QuotaReservation reservation) {
     estimate.divideIfStale();
-    boolean quotaLeft = !isUnverifiableRetry(reservation) && isMoreLeftThanOthersMayUse();
+    boolean quotaLeft = !isUnverifiableRetry(reservation) && coversOthersExpectedUse();
     decide(reservation, quotaLeft);
   }
 
   /**
-   * Whether a request is a retry of a customer whose divided quota never holds its units: such a
-   * request was rejected before, and only a total could show that the quota is unused.
+   * Returns whether a request is a retry whose units exceed this gateway's share of the divided
+   * quota: it was rejected before, and only a total could show that the quota is unused.
    */
   private boolean isUnverifiableRetry(QuotaReservation reservation) {
     return estimate.isDivided()
@@ -149,16 +158,19 @@
         && plan.burstUnits() / gateways < reservation.units();
   }
 
-  /** Whether the quota lasts for what the others are expected to use until the next total. */
-  private boolean isMoreLeftThanOthersMayUse() {
+  /**
+   * Returns whether the available units cover the expected use of the other gateways until the next
+   * total.
+   */
+  private boolean coversOthersExpectedUse() {
     return estimate.availableUnits() >= estimate.expectedOthersUnits(REPORT_INTERVAL_NANOS);
   }
 
   /**
-   * Decides on a request whose units have been taken, and gives those of the quota back if it is
-   * beyond it.
+   * Decides on a request whose units have been taken. A request over the quota returns the units of
+   * the quota and keeps those of the hard limit.
    *
-   * @param quotaLeft whether the quota, less the request's units, is not used up
+   * @param quotaLeft whether the quota is sufficient for the request's units
    */
   private void decide(QuotaReservation reservation, boolean quotaLeft) {
     if (plan.unitsPerSecond() <= 0 || quotaLeft) {
@@ -166,9 +178,9 @@
       context.listener().admitted(reservation);
       return;
     }
-    reservation.setState(QuotaReservation.State.BEYOND_QUOTA);
+    reservation.setState(QuotaReservation.State.OVER_QUOTA);
     take(-reservation.units());
-    if (forwardsBeyondQuota()) {
+    if (forwardsOverQuota()) {
       context.listener().admitted(reservation);
     } else {
       double missingUnits = reservation.units() - estimate.availableUnits();
@@ -176,20 +188,20 @@
     }
   }
 
-  /** Takes units from the quota, to be reported; negative units are given back. */
+  /** Takes units from the quota and schedules their report; negative units are given back. */
   void take(double units) {
     if (plan.unitsPerSecond() > 0) {
       planUsage.recordAdmitted(units);
       unreportedUnits += units;
       estimate.take(units);
-      usedAtNanos = clock.nowNanos();
+      lastUsedAtNanos = clock.nowNanos();
       context.accountsToReport().add(this);
     }
   }
 
   /**
-   * Reports use that has not been reported, if a report is due and a call may be made. Use that is
-   * older than a window, or that no other gateway asks for, is not reported any more.
+   * Reports unreported use if a report is due and a call may be made. Use that is older than a
+   * window, or that is not shared with other gateways through a counter, is discarded instead.
    */
   void reportUse() {
     if (!hasReportableUse()) {
@@ -202,44 +214,44 @@
 
   private boolean hasReportableUse() {
     return Math.abs(unreportedUnits) > MIN_REPORT_UNITS
-        && clock.nanosSince(usedAtNanos) < estimate.windowNanos()
+        && clock.nanosSince(lastUsedAtNanos) < estimate.windowNanos()
         && sharesCounter;
   }
 
   private void callCounter(QuotaReservation reservation) {
-    long window = estimate.enterCurrentWindow();
+    long window = estimate.advanceToCurrentWindow();
     double units = Math.rint(unreportedUnits * MICRO_UNITS_PER_UNIT) * UNITS_PER_MICRO_UNIT;
     planUsage.recordReported(units);
-    boolean low = estimate.availableUnits() < plan.burstUnits() / 2;
+    boolean quotaLow = estimate.availableUnits() < plan.burstUnits() / 2;
     reportDueAtNanos =
-        clock.nowNanos() + (low ? REPORT_INTERVAL_NANOS : RELAXED_REPORT_INTERVAL_NANOS);
+        clock.nowNanos() + (quotaLow ? REPORT_INTERVAL_NANOS : RELAXED_REPORT_INTERVAL_NANOS);
     unreportedUnits = 0;
-    callsUnderWay++;
-    long counterKey = spread(spread(key) + window) >>> 1;
+    callsInFlight++;
+    long counterKey = hash(hash(key) + window) >>> 1;
     CounterCall call = new CounterCall(this, window, units, reservation, clock.nowNanos());
     context.calls().start(counterKey, call, 2 * estimate.windowNanos());
   }
 
   /** Updates the estimate by a call that ended, and decides on the request that waited for it. */
   void callEnded(CounterCall call, Outcome outcome, double total) {
-    callsUnderWay--;
+    callsInFlight--;
     boolean currentWindow = estimate.isCurrentWindow(call.window());
     if (outcome.provesNotExecuted()) {
       unreportedUnits += call.units();
       planUsage.recordReported(-call.units());
       context.accountsToReport().add(this);
     } else if (currentWindow) {
-      // Without an answer they may have been added; if not, the next total shows a loss of counts.
+      // Without an answer the units may have been added; if not, the next total shows lost counts.
       estimate.recordOwnReported(call.units());
     }
     refill();
     if (outcome == Outcome.OK && currentWindow) {
-      estimate.learnTotal(call.units(), total, unreportedUnits, planUsage.reportedFraction());
+      estimate.applyTotal(call.units(), total, unreportedUnits, planUsage.reportedFraction());
     }
     decideAfterCall(call, outcome == Outcome.OK);
   }
 
-  /** Decides on the request that waits for a call, if it still does. */
+  /** Decides on the request that waits for a call, unless it has been decided already. */
   void decideAfterCall(CounterCall call, boolean answered) {
     QuotaReservation reservation = call.reservation();
     if (reservation == null || !reservation.isAwaitingCounter()) {
@@ -250,13 +262,13 @@
       context.listener().abandoned(reservation);
     } else if (answered) {
       decide(reservation, estimate.availableUnits() >= 0);
-      if (reservation.state() == QuotaReservation.State.BEYOND_QUOTA) {
-        // The others take what was reported for it for use until it is given back.
+      if (reservation.state() == QuotaReservation.State.OVER_QUOTA) {
+        // The other gateways count the units reported for it as use until they are taken back.
         reportDueAtNanos = clock.nowNanos();
       }
     } else {
       estimate.divideIfStale();
-      decide(reservation, isMoreLeftThanOthersMayUse());
+      decide(reservation, coversOthersExpectedUse());
     }
   }
 
@@ -272,8 +284,8 @@
   }
 
   /**
-   * Whether one more request may be in flight. Nobody knows how many the other gateways have, so
-   * the plan's limit is divided, and each gateway may have one.
+   * Returns whether one more request may be in flight. The number in flight at other gateways is
+   * unknown, so the plan's limit is divided among the gateways, with at least one for each.
    */
   boolean mayForward() {
     int max = plan.maxConcurrentRequests();
@@ -299,12 +311,12 @@
   }
 
   /**
-   * Whether a new account would know as much. Many customers come only once, so such accounts are
-   * dropped.
+   * Returns whether a new account would hold the same information. Such accounts are dropped,
+   * because many customers send requests only once.
    */
   boolean isDisposable() {
-    long idleNanos = clock.nanosSince(Math.max(usedAtNanos, estimate.totalAtNanos()));
-    if (openRequests + callsUnderWay > 0
+    long idleNanos = clock.nanosSince(Math.max(lastUsedAtNanos, estimate.totalAtNanos()));
+    if (openRequests + callsInFlight > 0
         || idleNanos < 2 * estimate.windowNanos() + RETENTION_NANOS
         || context.accountsToReport().contains(this)) {
       return false;
