--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -221,7 +221,7 @@
       reportNotSent(requestId, endpointId, true);
       return;
     }
-    if (!request.isAttemptInFlight() && !request.readAndCheckAwaited()) {
+    if (!request.isAttemptInFlight() && !request.readAndCheckClientWaiting()) {
       // The client has disconnected, or may have done so unseen: the request ends here.
       fail(request);
     }
--- a/src/main/java/merlinrouter/node/request/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/request/OpenRequest.java
@@ -133,7 +133,7 @@
    * Reads the client's connection, and returns whether the client still waits for a response as far
    * as can be known. The client's disconnect may be handled before this returns.
    */
-  public boolean readAndCheckAwaited() {
+  public boolean readAndCheckClientWaiting() {
     return !responded && !responseSink.readAndCheckDisconnected();
   }
 
--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -58,8 +58,8 @@
   }
 
   /** Reads the client's connection, and returns whether the client still waits for the response. */
-  boolean readAndCheckAwaited() {
-    return request.readAndCheckAwaited();
+  boolean readAndCheckClientWaiting() {
+    return request.readAndCheckClientWaiting();
   }
 
   void scheduleTimeout(EventLoop loop) {
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -107,7 +107,7 @@
     if (attempt.isEnded()) {
       return;
     }
-    if (late || pool.isRetired() || !attempt.readAndCheckAwaited()) {
+    if (late || pool.isRetired() || !attempt.readAndCheckClientWaiting()) {
       attempt.end(Outcome.NOT_SENT);
     } else {
       connect(pool, attempt);
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -103,7 +103,7 @@
 
   /** Writes an attempt's request, unless the client has disconnected or the attempt has ended. */
   void write(Attempt next) {
-    if (!next.isEnded() && !next.readAndCheckAwaited()) {
+    if (!next.isEnded() && !next.readAndCheckClientWaiting()) {
       // The client disconnected while the connection was being opened.
       log.count(NodeLog.Event.ATTEMPT_SKIPPED);
       next.end(Outcome.NOT_SENT);
