--- a/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
+++ b/src/main/java/merlinrouter/node/downstream/AcceptThrottle.java
@@ -10,62 +10,69 @@
 import merlinrouter.node.transport.EventLoops;
 
 /**
- * Pauses and resumes accepting, and knows since when a connection that is accepted now may have
- * waited for it.
+ * Pauses and resumes accepting of client connections, and tracks since when a connection that is
+ * accepted now may have been waiting in the kernel's backlog.
  *
- * <p>It replaces the handling of failed accepts in Netty's {@code ServerBootstrap}, which stops
- * accepting for a second: requests of all clients that have connected would run out of time.
+ * <p>Replaces the handling of failed accepts in Netty's {@code ServerBootstrap}, which stops
+ * accepting for a second: the requests of all clients that have connected would time out.
  */
 final class AcceptThrottle extends ChannelInboundHandlerAdapter {
   /**
-   * Keeps a lasting failure, such as a full descriptor table, from occupying the event loop, and is
-   * short against the shortest timeout of a client.
+   * Long enough that a persistent failure, such as a full descriptor table, does not saturate the
+   * event loop, and short compared with the shortest client timeout.
    */
   private static final long FAILURE_PAUSE_MILLIS = 10;
 
   private final NodeLog log;
   private final LongSupplier previousPollNanos;
 
-  /** Whether connections may wait that a poll before the latest one did not accept. */
+  /** Whether the backlog may hold connections that a poll before the latest one did not accept. */
   private boolean backlogged;
 
-  /** The earliest moment at which these may have started to wait. */
+  /** The earliest time at which one of these may have connected. */
   private long backloggedSinceNanos;
 
   private int acceptedInThisPoll;
-  private boolean acceptedSinceLastCheck;
+  private boolean acceptedSinceCheckScheduled;
 
-  /** How many checks await a whole poll of the sockets. */
+  /** How many backlog checks are scheduled; each runs after a whole poll of the sockets. */
   private int pendingChecks;
 
   /**
    * Creates a throttle that does not pause accepting.
    *
-   * @param previousPollNanos when the event loop polled its sockets before the present poll
+   * @param previousPollNanos when the event loop polled its sockets before its latest poll
    */
   AcceptThrottle(NodeLog log, LongSupplier previousPollNanos) {
     this.log = log;
     this.previousPollNanos = previousPollNanos;
   }
 
-  /** Whether connections are not accepted at present: some may wait in the kernel. */
+  /** Returns whether accepting is paused, so that connections may be waiting in the backlog. */
   boolean isPaused(Channel listeningChannel) {
     return !listeningChannel.config().isAutoRead();
   }
 
-  /** Whether connections may wait in the kernel that no poll since the last pause could accept. */
-  boolean mayHoldConnectionsBack(Channel listeningChannel) {
+  /**
+   * Returns whether the backlog may hold connections that have not been accepted: accepting is
+   * paused, or no whole poll has followed the last pause or the last poll that reached its maximum.
+   */
+  boolean mayHaveUnacceptedConnections(Channel listeningChannel) {
     return isPaused(listeningChannel) || pendingChecks > 0;
   }
 
-  /** The earliest moment at which a connection that is accepted now may have started to wait. */
+  /** Returns the earliest time at which a connection that is accepted now may have connected. */
   long waitingSinceNanos() {
     long previousPoll = previousPollNanos.getAsLong();
     boolean isEarlier = backlogged && backloggedSinceNanos - previousPoll < 0;
     return isEarlier ? backloggedSinceNanos : previousPoll;
   }
 
-  /** Stops accepting until {@link #resume}: connections that arrive after {@code since} wait. */
+  /**
+   * Stops accepting until {@link #resume}.
+   *
+   * @param sinceNanos the earliest time from which connections may wait in the backlog
+   */
   void pause(Channel listeningChannel, long sinceNanos) {
     addBacklog(sinceNanos);
     listeningChannel.config().setAutoRead(false);
@@ -78,25 +85,26 @@
     }
   }
 
-  /** Goes on accepting, if paused. */
+  /** Resumes accepting if it is paused. */
   void resume(Channel listeningChannel) {
     if (!isPaused(listeningChannel)) {
       return;
     }
     listeningChannel.config().setAutoRead(true);
-    checkAfterNextPoll(listeningChannel);
+    scheduleBacklogCheck(listeningChannel);
   }
 
-  private void checkAfterNextPoll(Channel listeningChannel) {
-    acceptedSinceLastCheck = false;
+  private void scheduleBacklogCheck(Channel listeningChannel) {
+    acceptedSinceCheckScheduled = false;
     pendingChecks++;
-    EventLoops.runAfterNextPoll(listeningChannel.eventLoop(), 0, () -> polled(listeningChannel));
+    EventLoops.runAfterNextPoll(
+        listeningChannel.eventLoop(), 0, () -> checkBacklog(listeningChannel));
   }
 
-  private void polled(Channel listeningChannel) {
+  private void checkBacklog(Channel listeningChannel) {
     pendingChecks--;
-    // If the poll accepted no connection, none had waited.
-    if (pendingChecks == 0 && !acceptedSinceLastCheck && !isPaused(listeningChannel)) {
+    // A poll that accepted no connection shows that the backlog was empty.
+    if (pendingChecks == 0 && !acceptedSinceCheckScheduled && !isPaused(listeningChannel)) {
       backlogged = false;
     }
   }
@@ -104,18 +112,18 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object accepted) {
     acceptedInThisPoll++;
-    acceptedSinceLastCheck = true;
+    acceptedSinceCheckScheduled = true;
     context.fireChannelRead(accepted);
   }
 
-  /** A poll that accepts fewer connections than it may has accepted all that waited. */
+  /** A poll that accepts fewer connections than its maximum has emptied the backlog. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     Channel listeningChannel = context.channel();
     MaxMessagesRecvByteBufAllocator allocator = listeningChannel.config().getRecvByteBufAllocator();
     if (acceptedInThisPoll >= allocator.maxMessagesPerRead()) {
       addBacklog(previousPollNanos.getAsLong());
-      checkAfterNextPoll(listeningChannel);
+      scheduleBacklogCheck(listeningChannel);
     } else if (acceptedInThisPoll > 0 && !isPaused(listeningChannel)) {
       backlogged = false;
     }
--- a/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
+++ b/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
@@ -4,17 +4,17 @@
 import merlinrouter.time.Nanos;
 
 /**
- * Remembers when the bytes of a connection that wait to be decoded arrived: time passes for a
- * pipelined request too. Byte offsets count from the connection's first byte.
+ * Records when the received but undecoded bytes of a connection arrived, because the timeout of a
+ * pipelined request counts from its arrival. Byte offsets count from the connection's first byte.
  */
 final class ArrivalTimes {
-  /** Reads closer together than this count as one, which arrived at its earliest moment. */
+  /** A read within this interval of an earlier one is merged into it with its arrival time. */
   private static final long MERGE_INTERVAL_NANOS = 10 * Nanos.PER_MILLI;
 
-  /** Further reads are merged into the last one. */
+  /** Maximum number of recorded reads; further ones are merged into the last. */
   private static final int MAX_READS = 64;
 
-  /** A read, or several merged ones. */
+  /** One read, or several merged ones. */
   private static final class Read {
     private long endOffset;
     private final long arrivedNanos;
@@ -28,7 +28,7 @@
   private final ArrayDeque<Read> reads = new ArrayDeque<>();
   private long receivedBytes;
 
-  /** Adds bytes that were read. */
+  /** Records that bytes were read. */
   void add(int bytes, long arrivedNanos) {
     receivedBytes += bytes;
     Read last = reads.peekLast();
@@ -44,20 +44,20 @@
   }
 
   /**
-   * The earliest moment at which the next byte to be decoded may have arrived. At least one byte
-   * must be waiting.
+   * Returns the earliest time at which the next byte to be decoded may have arrived. At least one
+   * byte must be undecoded.
    */
   long nextByteArrivedNanos() {
     return reads.element().arrivedNanos;
   }
 
   /**
-   * Forgets bytes that were decoded.
+   * Removes the records of decoded bytes.
    *
-   * @param waitingBytes how many of the received bytes still wait
+   * @param undecodedBytes how many of the received bytes are not decoded yet
    */
-  void decodedUpTo(int waitingBytes) {
-    long decodedOffset = receivedBytes - waitingBytes;
+  void removeDecoded(int undecodedBytes) {
+    long decodedOffset = receivedBytes - undecodedBytes;
     while (!reads.isEmpty() && reads.element().endOffset <= decodedOffset) {
       reads.remove();
     }
--- a/src/main/java/merlinrouter/node/downstream/ClientConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientConnection.java
@@ -20,8 +20,8 @@
 import merlinrouter.node.request.OpenRequest;
 
 /**
- * A client connection. It handles one request at a time; pipelined requests wait undecoded until
- * its response is written.
+ * A client connection. Requests are handled one at a time; pipelined ones stay undecoded until the
+ * previous response is written.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
     implements TrackedConnection {
@@ -40,7 +40,7 @@
   private long activeSinceNanos;
   private boolean keepAlive;
 
-  /** Takes over an accepted connection; {@link #configurePipeline} is still to be called. */
+  /** Creates the handler of an accepted connection; call {@link #configurePipeline} next. */
   ClientConnection(
       Channel channel,
       RequestHandler handler,
@@ -96,17 +96,17 @@
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
-    // The socket is polled from now on.
+    // The event loop polls the socket from now on.
     activeSinceNanos = System.nanoTime();
     if (!registry.add(this)) {
-      // At the limit new connections wait in the kernel's backlog until another one closes. The
-      // listening channel is this one's parent: the first clients may be here before the bind's
-      // future completes.
+      // At the limit, new connections wait in the kernel's backlog until another one closes. The
+      // listening channel is taken from this one's parent because the first clients may be accepted
+      // before the bind's future completes.
       acceptThrottle.pause(channel.parent(), System.nanoTime());
     }
   }
 
-  /** Called by the decoder after each read, when all that may be decoded has been. */
+  /** Called by the decoder after each read, once all bytes that may be decoded have been. */
   private void bytesDecoded() {
     if (state.isBetweenRequests() && !state.isClosing() && decoder.hasPartOfRequest()) {
       state.startReceiving();
@@ -119,7 +119,7 @@
       try {
         assembler.checkBudget();
       } catch (InvalidRequestException e) {
-        refuseAndClose(e);
+        rejectAndClose(e);
       }
     }
   }
@@ -128,16 +128,16 @@
   public void enforceTimeouts() {
     long nowNanos = System.nanoTime();
     if (state.isReceiveTimedOut(nowNanos)) {
-      refuseUnlessReceived();
+      rejectUnlessReceived();
     } else if (state.isIdleTimedOut(nowNanos)) {
       initiateClose("idle timeout");
     }
   }
 
-  /** Refuses the request that is being received, unless its rest has arrived by now. */
-  private void refuseUnlessReceived() {
-    if (!hasUnreadRequest() && !state.isClosing()) {
-      refuseAndClose(
+  /** Rejects the request that is being received, unless the rest of it has arrived by now. */
+  private void rejectUnlessReceived() {
+    if (!readAndCheckRequestArrived() && !state.isClosing()) {
+      rejectAndClose(
           new InvalidRequestException(
               HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come"));
     }
@@ -145,13 +145,13 @@
 
   @Override
   public boolean initiateClose(String reason) {
-    if (hasUnreadRequest() || !handler.guard().mayClose(state.openRequest(), reason)) {
+    if (readAndCheckRequestArrived() || !handler.guard().mayClose(state.openRequest(), reason)) {
       return false;
     }
     handler.log().count(NodeLog.Event.IDLE_CLOSED);
     if (state.isReceiving() && !state.isClosing()) {
-      // The client may be sending the rest.
-      refuseAndClose(new InvalidRequestException(HttpResponseStatus.SERVICE_UNAVAILABLE, reason));
+      // The client may still be sending the rest of its request, so it gets a response.
+      rejectAndClose(new InvalidRequestException(HttpResponseStatus.SERVICE_UNAVAILABLE, reason));
     } else {
       state.startClosing();
       channel.close();
@@ -160,20 +160,21 @@
   }
 
   /**
-   * Whether the next request, or the rest of the one that is being received, has arrived and not
-   * been handled; reads it. The event loop may have stalled since it last polled its sockets.
+   * Reads the connection, and returns whether a part of the next request, or the rest of the one
+   * that is being received, has arrived. The event loop may have stalled since it last polled its
+   * sockets.
    */
-  private boolean hasUnreadRequest() {
+  private boolean readAndCheckRequestArrived() {
     if (!state.mayReceive()) {
       return false;
     }
-    boolean betweenRequests = state.isBetweenRequests();
+    boolean wasBetweenRequests = state.isBetweenRequests();
     presence.readAvailable();
     return channel.isActive()
-        && (betweenRequests ? !state.isBetweenRequests() : isRequestComplete());
+        && (wasBetweenRequests ? !state.isBetweenRequests() : isRequestComplete());
   }
 
-  /** Whether a whole request has been received that {@link #handleRequest} is still to handle. */
+  /** Returns whether a whole request is received that {@link #handleRequest} has not handled. */
   private boolean isRequestComplete() {
     return assembler.hasHead() && decoder.isPaused();
   }
@@ -186,7 +187,7 @@
     try {
       assemble(part);
     } catch (InvalidRequestException e) {
-      refuseAndClose(e);
+      rejectAndClose(e);
     }
   }
 
@@ -206,15 +207,15 @@
     }
     if (part instanceof LastHttpContent) {
       state.completeReceiving();
-      // After the rest of this read: the client's close may follow.
+      // Deferred until the whole read is processed, because it may include the client's close.
       channel.eventLoop().execute(this::handleRequest);
     }
   }
 
-  /** The earliest moment at which bytes that are read now may have arrived. */
+  /** Returns the earliest time at which bytes that are read now may have arrived. */
   private long earliestArrivalNanos() {
     long previousPollNanos = handler.previousPollNanos();
-    // Bytes of the socket's first poll may have waited as long as the connection.
+    // Bytes from the first poll of the socket may have arrived as early as the connection.
     boolean isFirstPoll = previousPollNanos - activeSinceNanos < 0;
     return presence.wasReadingPaused() || isFirstPoll
         ? presence.lastSeenNanos()
@@ -227,7 +228,7 @@
     }
     HttpRequest head = assembler.takeHead();
     ByteBuf body = assembler.takeBody();
-    // Whoever takes the body over counts its bytes from now on.
+    // From here on, the new owner of the body accounts for its bytes in the budget.
     assembler.updateBudget(decoder.undecodedBytes());
     state.startHandling();
     keepAlive = HttpUtil.isKeepAlive(head);
@@ -242,15 +243,15 @@
       }
     } catch (InvalidRequestException e) {
       body.release();
-      refuseAndClose(e);
+      rejectAndClose(e);
     }
   }
 
   /**
-   * Responds with an error before the gateway has seen the request, and closes. Later bytes are not
-   * read: they may belong to this request.
+   * Rejects a request that the gateway has not accepted, and closes the connection. Further bytes
+   * are not read, because they may belong to this request.
    */
-  private void refuseAndClose(InvalidRequestException rejection) {
+  private void rejectAndClose(InvalidRequestException rejection) {
     handler.log().count(NodeLog.Event.BAD_REQUEST);
     keepAlive = false;
     assembler.discard();
@@ -261,11 +262,11 @@
   }
 
   /**
-   * Writes the final response of the request that was received last, and goes on to the next one or
-   * closes.
+   * Writes the final response to the request that was received last, then resumes decoding or
+   * closes the connection.
    *
-   * @param content the body; it is released once written
-   * @param retryAfterNanos when the client may retry, from now; 0 for no advice
+   * @param content the body, which is released once written
+   * @param retryAfterNanos time from now after which the client may retry; 0 for no advice
    */
   void respond(HttpResponseStatus status, ByteBuf content, long retryAfterNanos) {
     boolean close =
@@ -280,7 +281,7 @@
     }
   }
 
-  /** Goes on to pipelined requests, unless the client does not even read its responses. */
+  /** Resumes decoding of pipelined requests, unless the client does not read its responses. */
   private void resumeDecoding() {
     boolean mayDecode = state.mayReceive() && !isRequestComplete();
     if (!mayDecode || !channel.isActive() || !channel.isWritable()) {
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -15,11 +15,11 @@
 import merlinrouter.node.transport.EventLoops;
 import merlinrouter.node.transport.Transport;
 
-/** Listens for client connections, and stops listening in a drain. */
+/** Listens for client connections, and stops listening as part of a drain. */
 public final class ClientListener {
   private static final int BACKLOG = 512;
 
-  /** Bytes of one read from a connection. */
+  /** Smallest size of one read from a connection; the size adapts to the traffic. */
   private static final int MIN_READ_BYTES = 512;
 
   private static final int INITIAL_READ_BYTES = 1024;
@@ -27,12 +27,12 @@
 
   private static final long TIMEOUT_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /** Longer than accepting pauses after a failure ({@link AcceptThrottle}). */
+  /** Longer than the pause after a failed accept ({@link AcceptThrottle}). */
   private static final long ACCEPT_PAUSE_RECHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private static final long BIND_RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** A restart has 10 s in all. */
+  /** Only a part of the 10 s that a restart may take in total. */
   private static final long BIND_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
 
   private final RequestHandler handler;
@@ -48,7 +48,7 @@
   /**
    * Creates a listener that is not bound yet.
    *
-   * @param budget counts the bytes that requests hold
+   * @param budget limits the bytes held by the requests of all connections
    */
   public ClientListener(
       RequestHandler handler, EventLoop loop, NodeConfig config, MemoryBudget budget) {
@@ -71,9 +71,10 @@
   }
 
   /**
-   * Binds the listening socket, with retries. Called on any thread.
+   * Binds the listening socket, with retries. May be called on any thread.
    *
-   * @return completes when clients can connect; never if a drain started before that
+   * @return a future that completes when clients can connect, exceptionally if all retries failed,
+   *     or never if a drain starts first
    */
   public CompletableFuture<Void> bind() {
     CompletableFuture<Void> bound = new CompletableFuture<>();
@@ -123,13 +124,16 @@
     } else if (System.nanoTime() - bindStartedNanos > BIND_TIMEOUT_NANOS) {
       bound.completeExceptionally(future.cause());
     } else {
-      // The previous process may hold the address for a moment, or resources may be short.
+      // The previous process may still hold the address, or resources may be short.
       loop.schedule(
           () -> tryBindUnlessDraining(bound), BIND_RETRY_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** Where clients connect. Called on any thread, after {@link #bind} has completed. */
+  /**
+   * Returns the address that clients connect to. May be called on any thread after {@link #bind}
+   * has completed.
+   */
   public SocketAddress address() {
     return listeningChannel.localAddress();
   }
@@ -138,12 +142,12 @@
    * Starts a drain: each connection closes with its next response, while new ones are still
    * accepted.
    *
-   * @return whether clients may be connected
+   * @return whether the socket is bound, so that clients may be connected
    */
   public boolean startDraining() {
     registry.startDraining();
     if (listeningChannel != null) {
-      // One poll must be able to accept the whole backlog: the last one before the socket closes.
+      // The last poll before the socket closes must be able to accept the whole backlog.
       MaxMessagesRecvByteBufAllocator allocator =
           listeningChannel.config().getRecvByteBufAllocator();
       allocator.maxMessagesPerRead(BACKLOG);
@@ -152,12 +156,13 @@
   }
 
   /**
-   * Ends a drain: closes the listening socket and the connections between requests.
+   * Continues a drain: closes the listening socket, once all waiting connections are accepted, and
+   * the connections between requests.
    *
-   * @param drained completes when no connection is left
+   * @param drained completed when no connection is left
    */
   public void stopAccepting(CompletableFuture<Void> drained) {
-    if (listeningChannel != null && acceptThrottle.mayHoldConnectionsBack(listeningChannel)) {
+    if (listeningChannel != null && acceptThrottle.mayHaveUnacceptedConnections(listeningChannel)) {
       // Closing the socket would reset connections that are established but not accepted yet.
       EventLoops.runAfterNextPoll(loop, ACCEPT_PAUSE_RECHECK_NANOS, () -> stopAccepting(drained));
       return;
@@ -170,17 +175,20 @@
     registry.completeDrainIfEmpty();
   }
 
-  /** How many connections are open. Called on any thread but the event loop's. */
+  /** Returns how many connections are open. Must not be called on the event loop: it blocks. */
   public int connectionCount() throws Exception {
     return loop.submit(registry::size).get();
   }
 
-  /** How many connections are not read from at present, since they have sent too much ahead. */
+  /**
+   * Returns how many connections are not being read: they have sent too many bytes of pipelined
+   * requests, or are closing after a rejected request.
+   */
   public int readingPausedCount() {
     return registry.readingPausedCount();
   }
 
-  /** Whether the listening socket has been bound. */
+  /** Returns whether the listening socket has been bound. */
   public boolean isListening() {
     return listeningChannel != null;
   }
--- a/src/main/java/merlinrouter/node/downstream/ClientPresence.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientPresence.java
@@ -6,14 +6,14 @@
 import merlinrouter.time.Nanos;
 
 /**
- * Tracks when a connection's client was last seen connected: everything it had sent was read, and
- * no close followed.
+ * Tracks when a client was last known to be connected: everything that it had sent was read, and no
+ * close followed.
  */
 final class ClientPresence {
   /**
-   * A client whose bytes wait unread counts as connected for this long: no attempt may start 100 ms
-   * after its client disconnected, and a disconnect behind unread bytes can't be seen. The other 20
-   * ms are for sending the attempt.
+   * How long a client with unread bytes counts as connected. No attempt may start more than 100 ms
+   * after its client disconnected, and a disconnect behind unread bytes cannot be detected. The
+   * other 20 ms are for sending the attempt.
    */
   private static final long MAX_UNSEEN_NANOS = 80 * Nanos.PER_MILLI;
 
@@ -22,35 +22,37 @@
   private boolean readingPaused;
 
   /**
-   * Starts to watch an accepted connection.
+   * Starts to track the client of an accepted connection.
    *
-   * @param waitingSinceNanos the earliest moment at which it may have connected
+   * @param waitingSinceNanos the earliest time at which it may have connected
    */
   ClientPresence(Channel channel, long waitingSinceNanos) {
     this.channel = channel;
     this.lastSeenNanos = waitingSinceNanos;
   }
 
-  /** Stops reading: bytes may now wait unread for any time. */
+  /** Stops reading: from now on, bytes may stay unread for an unlimited time. */
   void pauseReading() {
     readingPaused = true;
     channel.config().setAutoRead(false);
   }
 
-  /** Whether bytes read now may have waited since {@link #lastSeenNanos}. */
+  /**
+   * Returns whether bytes that are read now may have arrived as early as {@link #lastSeenNanos}.
+   */
   boolean wasReadingPaused() {
     return readingPaused;
   }
 
-  /** When the client was last seen connected. */
+  /** Returns when the client was last known to be connected. */
   long lastSeenNanos() {
     return lastSeenNanos;
   }
 
   /**
-   * Reads the socket, and returns whether the client has disconnected or may have done so unseen:
-   * with a stalled event loop, or one that is still handling other sockets, a close may not have
-   * been delivered yet.
+   * Reads the socket, and returns whether the client has disconnected or may have done so
+   * undetected. The read is needed because a close may not have been delivered yet if the event
+   * loop was stalled or is still handling other sockets.
    */
   boolean readAndCheckDisconnected() {
     readAvailable();
@@ -61,8 +63,8 @@
     return !channel.isActive() || System.nanoTime() - lastSeenNanos > MAX_UNSEEN_NANOS;
   }
 
-  /** Reads all that has arrived, up to the client's close. */
-  @SuppressWarnings("deprecation") // no other handle is offered by the channel's unsafe side
+  /** Reads everything that has arrived, including the client's close. */
+  @SuppressWarnings("deprecation") // Channel.Unsafe offers no other type of handle
   void readAvailable() {
     RecvByteBufAllocator.Handle lastRead = channel.unsafe().recvBufAllocHandle();
     boolean mayRead = isReadable();
--- a/src/main/java/merlinrouter/node/downstream/ClientResponseSink.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientResponseSink.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import merlinrouter.node.request.ResponseSink;
 
-/** Answers the open request of a client connection: maps how it ended to an HTTP response. */
+/** Maps the outcome of a client connection's open request to an HTTP response. */
 final class ClientResponseSink implements ResponseSink {
   private final ClientConnection connection;
   private final ClientPresence presence;
--- a/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
@@ -75,7 +75,7 @@
       }
       super.decode(decodeContext, input, output);
       paused = !output.isEmpty() && output.get(output.size() - 1) instanceof LastHttpContent;
-      arrivalTimes.decodedUpTo(input.readableBytes());
+      arrivalTimes.removeDecoded(input.readableBytes());
       partDecoded = !paused && (partDecoded || isMoreThanLineEnds(input, startIndex));
     }
   }
