--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -167,7 +167,7 @@
       EventLoops.runAfterNextPoll(loop, ACCEPT_PAUSE_RECHECK_NANOS, () -> stopAccepting(drained));
       return;
     }
-    registry.setDrained(drained);
+    registry.stopAccepting(drained);
     if (listeningChannel != null) {
       listeningChannel.close();
     }
--- a/src/main/java/merlinrouter/node/downstream/ConnectionRegistry.java
+++ b/src/main/java/merlinrouter/node/downstream/ConnectionRegistry.java
@@ -12,7 +12,7 @@
 
   private static final int MIN_CONNECTIONS = 8;
 
-  /** A sixth of the sockets, which is a third of the clients' connections, may stay open idle. */
+  /** A sixth of the sockets, which is a third of the clients' connections, may be idle. */
   private static final int SOCKETS_PER_IDLE_CONNECTION = 6;
 
   private static final int MIN_IDLE_CONNECTIONS = 4;
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Adds a connection. At the limit, another one that no request is open on is closed for it.
+   * Adds a connection. At the limit, another one without an open request is closed in exchange.
    *
    * @return false if the limit is reached and none could be closed: accepting should pause
    */
@@ -48,20 +48,20 @@
     connections.remove(connection);
   }
 
-  /** Closes a connection that no request is open on, so that its client does not lose one. */
+  /** Closes a connection without an open request, so that its client does not lose a request. */
   private boolean evictFor(TrackedConnection newest) {
     TrackedConnection candidate = evictionCandidate(newest);
     if (candidate == null) {
       return false;
     }
-    // A request may have arrived on it meanwhile; then it is no candidate any more.
+    // If a request has arrived on it, it is not closed and is no longer a candidate.
     return candidate.initiateClose("evicted for a new connection") || evictFor(newest);
   }
 
   /**
-   * The oldest connection that never received anything, else the one that has been idle longest,
-   * else the oldest that has received a part of its first request. Without this, silent clients
-   * could occupy all connections. Null if there is none.
+   * Returns the oldest connection that has never received anything, else the one that has been idle
+   * longest, else the oldest that has received a part of its first request; null if there is none.
+   * Without eviction, silent clients could occupy all connections.
    */
   private TrackedConnection evictionCandidate(TrackedConnection newest) {
     TrackedConnection idleLongest = null;
@@ -88,12 +88,13 @@
   }
 
   /**
-   * Whether as many connections are idle as may be, so that the next one closes with its response.
+   * Returns whether the maximum number of connections is idle, so that any other one closes with
+   * its next response.
    *
-   * <p>Clients that send one request and keep their connection would otherwise leave none for
-   * others long before the idle timeout. Saying so in the response is safe, while closing an idle
-   * connection may race with its client's next request. Where that many ordinary clients take
-   * turns, the cost is a new connection for each of their requests.
+   * <p>Otherwise, clients that send one request and keep their connection would use up all
+   * connections long before the idle timeout. Announcing the close in the response is safe, while
+   * closing an idle connection may race with its client's next request. If that many ordinary
+   * clients send requests in turn, the cost is a new connection for each of their requests.
    */
   boolean hasMaxIdleConnections() {
     int idle = 0;
@@ -114,12 +115,12 @@
     }
   }
 
-  /** How many connections are open. */
+  /** Returns how many connections are open. */
   int size() {
     return connections.size();
   }
 
-  /** How many connections are not read from at present. */
+  /** Returns how many connections are not being read. */
   int readingPausedCount() {
     int count = 0;
     for (TrackedConnection connection : connections) {
@@ -128,22 +129,26 @@
     return count;
   }
 
-  /** From now on each connection closes with its next response. */
+  /** Starts a drain: from now on, each connection closes with its next response. */
   void startDraining() {
     draining = true;
   }
 
-  /** Whether {@link #startDraining} was called. */
+  /** Returns whether {@link #startDraining} was called. */
   boolean isDraining() {
     return draining;
   }
 
-  /** Sets what completes when no connection is left: no new one is accepted from now on. */
-  void setDrained(CompletableFuture<Void> done) {
+  /**
+   * Records that no new connection is accepted from now on.
+   *
+   * @param done completed when no connection is left
+   */
+  void stopAccepting(CompletableFuture<Void> done) {
     drained = done;
   }
 
-  /** Whether a connection that closes makes room for a new one. */
+  /** Returns whether new connections are accepted, so that one that closes makes room for them. */
   boolean isAccepting() {
     return drained == null;
   }
--- a/src/main/java/merlinrouter/node/downstream/ConnectionState.java
+++ b/src/main/java/merlinrouter/node/downstream/ConnectionState.java
@@ -4,13 +4,13 @@
 import merlinrouter.node.request.OpenRequest;
 
 /**
- * The state of a client connection: waiting for a request, receiving one, waiting for its response,
- * or closing; and since when, for its timeouts.
+ * The state of a client connection (waiting for a request, receiving one, waiting for its response,
+ * or closing), and the time from which its timeouts count.
  */
 final class ConnectionState {
   /**
-   * How long receiving a whole request may take: from the connect or, on a connection that has
-   * received one before, from its first byte.
+   * How long receiving a whole request may take: from the accept or, on a connection that has
+   * received one before, from the request's first byte.
    */
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
@@ -18,10 +18,10 @@
 
   private OpenRequest openRequest;
 
-  /** Whether a request has been received in part. */
+  /** Whether a request has been received, in part or as a whole, that is not handled yet. */
   private boolean receiving;
 
-  /** Whether a whole request has been received yet. */
+  /** Whether at least one whole request has been received. */
   private boolean receivedRequest;
 
   private boolean closing;
@@ -52,22 +52,22 @@
     return sinceNanos;
   }
 
-  /** The request that waits for its response; null if there is none. */
+  /** Returns the request that waits for its response; null if there is none. */
   OpenRequest openRequest() {
     return openRequest;
   }
 
-  /** Whether a request has been received, in part or as a whole, that is not handled yet. */
+  /** Returns whether a request has been received, in part or as a whole, but not handled yet. */
   boolean isReceiving() {
     return receiving;
   }
 
-  /** Whether a further request may be received: none is open, and the connection stays open. */
+  /** Returns whether another request may be received: none is open, and the connection is kept. */
   boolean mayReceive() {
     return openRequest == null && !closing;
   }
 
-  /** Whether receiving a request takes too long. */
+  /** Returns whether receiving a request has taken too long. */
   boolean isReceiveTimedOut(long nowNanos) {
     return openRequest == null
         && receiving
@@ -75,7 +75,7 @@
         && nowNanos - sinceNanos > REQUEST_TIMEOUT_NANOS;
   }
 
-  /** Whether the connection has been idle, or closing, for too long. */
+  /** Returns whether the connection has been idle, or closing, for too long. */
   boolean isIdleTimedOut(long nowNanos) {
     return openRequest == null
         && (closing || !receiving)
@@ -90,12 +90,12 @@
     }
   }
 
-  /** Records that the last byte of a request has been received, which is still to be handled. */
+  /** Records that the last byte of a request has been received; the request is not handled yet. */
   void completeReceiving() {
     receivedRequest = true;
   }
 
-  /** Records that the request that was received is being handled. */
+  /** Records that the received request is being handled. */
   void startHandling() {
     receiving = false;
   }
@@ -113,7 +113,7 @@
   /**
    * Records that a response is about to be written.
    *
-   * @param closes whether the connection closes behind it
+   * @param closes whether the connection closes after it
    */
   void endRequest(boolean closes) {
     closing = closes;
--- a/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
@@ -1,37 +1,38 @@
 package merlinrouter.node.downstream;
 
-/** A client connection as {@link ConnectionRegistry} sees it. */
+/** A client connection as used by {@link ConnectionRegistry}. */
 interface TrackedConnection {
-  /** Whether it closes behind its last response, or is closed. */
+  /** Returns whether it closes after its last response, or is closed. */
   boolean isClosing();
 
-  /** Whether a request on it waits for its response. */
+  /** Returns whether a request on it is waiting for its response. */
   boolean hasOpenRequest();
 
-  /** Whether it has received a whole request yet. */
+  /** Returns whether it has received at least one whole request. */
   boolean hasReceivedRequest();
 
-  /** Whether no request is open on it, nor received in part. */
+  /** Returns whether no request is open on it or received in part. */
   boolean isBetweenRequests();
 
   /**
-   * Since when it has been in its present state: the accept, until a whole request has been
-   * received; later the first byte of the request that is being received, or else the last
-   * response.
+   * Returns the time from which its timeouts count: that of the accept, until a whole request has
+   * been received; later that of the first byte of the request that is being received, or else that
+   * of the last response.
    */
   long stateSinceNanos();
 
-  /** Whether it is not read from at present. */
+  /** Returns whether it is currently not being read. */
   boolean isReadingPaused();
 
   /** Closes it if it has been idle, or has been receiving one request, for too long. */
   void enforceTimeouts();
 
   /**
-   * Closes it on the node's initiative, unless the next request, or the rest of the one that it is
-   * receiving, has arrived unread. A request that it has received in part is refused. Does nothing
-   * either, apart from counting a violation, if a request is open.
+   * Closes it on the node's initiative, unless a part of the next request, or the rest of the one
+   * that it is receiving, has arrived unread. A request that it has received only in part is
+   * rejected. If a request is open, this only counts a violation.
    *
+   * @param reason why it is closed; the body of the response if a request is rejected
    * @return whether it is being closed
    */
   boolean initiateClose(String reason);
--- a/src/test/java/merlinrouter/node/downstream/ConnectionRegistryTest.java
+++ b/src/test/java/merlinrouter/node/downstream/ConnectionRegistryTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Limits of client connections, with scripted ones. */
+/** Tests the limits on the number of client connections, with fake connections. */
 class ConnectionRegistryTest {
   private static final int MAX_SOCKETS = 16;
   private static final int MAX_CONNECTIONS = 8;
@@ -16,25 +16,25 @@
 
   private final ConnectionRegistry registry = new ConnectionRegistry(MAX_SOCKETS);
 
-  private static final class ScriptedConnection implements TrackedConnection {
-    private boolean open;
-    private boolean received;
+  private static final class FakeConnection implements TrackedConnection {
+    private boolean openRequest;
+    private boolean receivedRequest;
     private boolean receiving;
     private boolean closing;
-    private boolean requestArrivesUnread;
+    private boolean hasUnreadRequest;
     private long sinceNanos;
     private String closeReason;
 
-    static ScriptedConnection withOpenRequest() {
-      ScriptedConnection connection = new ScriptedConnection();
-      connection.open = true;
-      connection.received = true;
+    static FakeConnection withOpenRequest() {
+      FakeConnection connection = new FakeConnection();
+      connection.openRequest = true;
+      connection.receivedRequest = true;
       return connection;
     }
 
-    static ScriptedConnection idleSince(long sinceNanos) {
-      ScriptedConnection connection = new ScriptedConnection();
-      connection.received = true;
+    static FakeConnection idleSince(long sinceNanos) {
+      FakeConnection connection = new FakeConnection();
+      connection.receivedRequest = true;
       connection.sinceNanos = sinceNanos;
       return connection;
     }
@@ -46,17 +46,17 @@
 
     @Override
     public boolean hasOpenRequest() {
-      return open;
+      return openRequest;
     }
 
     @Override
     public boolean hasReceivedRequest() {
-      return received;
+      return receivedRequest;
     }
 
     @Override
     public boolean isBetweenRequests() {
-      return !open && !receiving;
+      return !openRequest && !receiving;
     }
 
     @Override
@@ -76,8 +76,8 @@
 
     @Override
     public boolean initiateClose(String reason) {
-      if (requestArrivesUnread) {
-        requestArrivesUnread = false;
+      if (hasUnreadRequest) {
+        hasUnreadRequest = false;
         receiving = true;
         return false;
       }
@@ -87,44 +87,44 @@
     }
   }
 
-  /** Adds connections until the next one reaches the limit. */
+  /** Adds connections with open requests, which must stay below the limit. */
   private void fillWithOpenRequests(int count) {
     for (int i = 0; i < count; i++) {
-      assertTrue(registry.add(ScriptedConnection.withOpenRequest()));
+      assertTrue(registry.add(FakeConnection.withOpenRequest()));
     }
   }
 
   @Test
   void acceptingPausesIfEveryConnectionHasAnOpenRequest() {
     fillWithOpenRequests(MAX_CONNECTIONS - 1);
-    assertFalse(registry.add(ScriptedConnection.withOpenRequest()));
+    assertFalse(registry.add(FakeConnection.withOpenRequest()));
     assertEquals(MAX_CONNECTIONS, registry.size());
   }
 
   @Test
   void aConnectionOnWhichARequestHasArrivedIsNotEvicted() {
-    ScriptedConnection awaited = ScriptedConnection.idleSince(5);
-    awaited.requestArrivesUnread = true;
-    ScriptedConnection later = ScriptedConnection.idleSince(9);
-    assertTrue(registry.add(awaited));
+    FakeConnection withUnreadRequest = FakeConnection.idleSince(5);
+    withUnreadRequest.hasUnreadRequest = true;
+    FakeConnection later = FakeConnection.idleSince(9);
+    assertTrue(registry.add(withUnreadRequest));
     assertTrue(registry.add(later));
     fillWithOpenRequests(MAX_CONNECTIONS - 3);
-    assertTrue(registry.add(ScriptedConnection.withOpenRequest()));
-    assertNull(awaited.closeReason);
+    assertTrue(registry.add(FakeConnection.withOpenRequest()));
+    assertNull(withUnreadRequest.closeReason);
     assertTrue(later.closing);
   }
 
   @Test
   void theConnectionIdleLongestIsEvicted() {
-    ScriptedConnection later = ScriptedConnection.idleSince(9);
-    ScriptedConnection earlier = ScriptedConnection.idleSince(5);
-    ScriptedConnection receiving = ScriptedConnection.idleSince(1);
+    FakeConnection later = FakeConnection.idleSince(9);
+    FakeConnection earlier = FakeConnection.idleSince(5);
+    FakeConnection receiving = FakeConnection.idleSince(1);
     receiving.receiving = true;
     registry.add(later);
     registry.add(earlier);
     registry.add(receiving);
     fillWithOpenRequests(MAX_CONNECTIONS - 4);
-    assertTrue(registry.add(new ScriptedConnection()));
+    assertTrue(registry.add(new FakeConnection()));
     assertEquals("evicted for a new connection", earlier.closeReason);
     assertNull(later.closeReason);
     assertNull(receiving.closeReason);
@@ -132,42 +132,42 @@
 
   @Test
   void theOldestConnectionThatNeverReceivedARequestIsEvictedFirst() {
-    ScriptedConnection idle = ScriptedConnection.idleSince(1);
-    ScriptedConnection oldestSilent = new ScriptedConnection();
-    ScriptedConnection newerSilent = new ScriptedConnection();
+    FakeConnection idle = FakeConnection.idleSince(1);
+    FakeConnection oldestWithoutRequest = new FakeConnection();
+    FakeConnection newerWithoutRequest = new FakeConnection();
     registry.add(idle);
-    registry.add(oldestSilent);
-    registry.add(newerSilent);
+    registry.add(oldestWithoutRequest);
+    registry.add(newerWithoutRequest);
     fillWithOpenRequests(MAX_CONNECTIONS - 4);
-    assertTrue(registry.add(new ScriptedConnection()));
-    assertEquals("evicted for a new connection", oldestSilent.closeReason);
+    assertTrue(registry.add(new FakeConnection()));
+    assertEquals("evicted for a new connection", oldestWithoutRequest.closeReason);
     assertNull(idle.closeReason);
-    assertNull(newerSilent.closeReason);
+    assertNull(newerWithoutRequest.closeReason);
   }
 
   @Test
   void aConnectionThatReceivesItsFirstRequestIsEvictedLast() {
-    ScriptedConnection receiving = new ScriptedConnection();
+    FakeConnection receiving = new FakeConnection();
     receiving.receiving = true;
-    ScriptedConnection idle = ScriptedConnection.idleSince(1);
+    FakeConnection idle = FakeConnection.idleSince(1);
     registry.add(receiving);
     registry.add(idle);
     fillWithOpenRequests(MAX_CONNECTIONS - 3);
-    assertTrue(registry.add(ScriptedConnection.withOpenRequest()));
+    assertTrue(registry.add(FakeConnection.withOpenRequest()));
     assertEquals("evicted for a new connection", idle.closeReason);
     assertNull(receiving.closeReason);
-    assertTrue(registry.add(ScriptedConnection.withOpenRequest()));
+    assertTrue(registry.add(FakeConnection.withOpenRequest()));
     assertEquals("evicted for a new connection", receiving.closeReason);
   }
 
   @Test
   void idleConnectionsAreCountedUpToTheirLimit() {
     for (int i = 0; i < MAX_IDLE_CONNECTIONS - 1; i++) {
-      registry.add(ScriptedConnection.idleSince(i));
+      registry.add(FakeConnection.idleSince(i));
     }
-    registry.add(new ScriptedConnection());
-    assertFalse(registry.hasMaxIdleConnections(), "a silent connection is not idle");
-    ScriptedConnection last = ScriptedConnection.idleSince(9);
+    registry.add(new FakeConnection());
+    assertFalse(registry.hasMaxIdleConnections(), "a connection without a request is not idle");
+    FakeConnection last = FakeConnection.idleSince(9);
     registry.add(last);
     assertTrue(registry.hasMaxIdleConnections());
     last.closing = true;
@@ -176,15 +176,15 @@
 
   @Test
   void drainClosesIdleConnectionsAndCompletesWithTheLast() {
-    ScriptedConnection idle = ScriptedConnection.idleSince(1);
-    ScriptedConnection busy = ScriptedConnection.withOpenRequest();
+    FakeConnection idle = FakeConnection.idleSince(1);
+    FakeConnection busy = FakeConnection.withOpenRequest();
     registry.add(idle);
     registry.add(busy);
     CompletableFuture<Void> drained = new CompletableFuture<>();
     registry.startDraining();
     assertTrue(registry.isDraining());
     assertTrue(registry.isAccepting());
-    registry.setDrained(drained);
+    registry.stopAccepting(drained);
     assertFalse(registry.isAccepting());
     registry.closeIdleConnections("graceful shutdown");
     assertEquals("graceful shutdown", idle.closeReason);
