--- a/src/main/java/merlinrouter/node/downstream/HeaderValues.java
+++ b/src/main/java/merlinrouter/node/downstream/HeaderValues.java
@@ -4,11 +4,11 @@
 import java.util.Iterator;
 
 /**
- * Reads values of request headers strictly: a value that two readers could understand differently
- * is rejected.
+ * Reads values of request headers strictly: a value that two parsers could interpret differently is
+ * rejected.
  */
 final class HeaderValues {
-  /** The last character of ASCII. */
+  /** The last ASCII character. */
   private static final char DELETE = 127;
 
   private static final int MAX_DECIMAL_DIGITS = 15;
@@ -17,9 +17,9 @@
   private HeaderValues() {}
 
   /**
-   * The value of a header that may be missing.
+   * Returns the value of a header that may be missing.
    *
-   * @return the value, or null
+   * @return the value; null if the header is missing
    * @throws InvalidRequestException if the header occurs more than once
    */
   static String optional(HttpHeaders headers, String name) throws InvalidRequestException {
@@ -32,7 +32,7 @@
   }
 
   /**
-   * The value of a header that must occur exactly once.
+   * Returns the value of a header that must occur exactly once.
    *
    * @throws InvalidRequestException if it is missing, blank or occurs more than once
    */
@@ -45,10 +45,10 @@
   }
 
   /**
-   * The value of a required header that is forwarded to endpoints, where it must arrive unchanged.
+   * Returns the value of a required header that endpoints must receive unchanged.
    *
    * @throws InvalidRequestException if it is longer than {@link ClientProtocol#MAX_TOKEN_LENGTH} or
-   *     has other than visible ASCII characters
+   *     contains characters other than visible ASCII
    */
   static String requiredToken(HttpHeaders headers, String name) throws InvalidRequestException {
     String value = required(headers, name);
@@ -63,11 +63,11 @@
   }
 
   /**
-   * Parses a decimal number without sign.
+   * Parses a decimal integer without a sign.
    *
-   * @param text may be null, which is rejected
-   * @param name what the number is called in the rejection
-   * @throws InvalidRequestException if the text is no number from {@code min} to {@code max}
+   * @param text the digits; null is rejected
+   * @param name name of the number in the message of the rejection
+   * @throws InvalidRequestException if the text is not an integer from {@code min} to {@code max}
    */
   static long wholeNumber(String text, String name, long min, long max)
       throws InvalidRequestException {
@@ -84,7 +84,7 @@
         name + " is not a whole number from " + min + " to " + max);
   }
 
-  /** Whether all characters are ASCII digits of a radix. */
+  /** Returns whether all characters are ASCII digits of a radix. */
   static boolean hasOnlyDigits(String text, int radix) {
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) > DELETE || Character.digit(text.charAt(i), radix) < 0) {
--- a/src/main/java/merlinrouter/node/downstream/HealthCheck.java
+++ b/src/main/java/merlinrouter/node/downstream/HealthCheck.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** The node's own health check, which fails from the start of a drain on. */
+/** The node's own health check, which fails once a drain has started. */
 final class HealthCheck {
   private final RequestHandler handler;
   private final ConnectionRegistry registry;
@@ -14,9 +14,9 @@
   }
 
   /**
-   * The status of the response to a request of the health check's path.
+   * Returns the status of the response to a request for the health check's path.
    *
-   * @throws InvalidRequestException if the method is wrong
+   * @throws InvalidRequestException if the method is not GET
    */
   HttpResponseStatus status(HttpMethod method) throws InvalidRequestException {
     if (!method.equals(HttpMethod.GET)) {
--- a/src/main/java/merlinrouter/node/downstream/InvalidRequestException.java
+++ b/src/main/java/merlinrouter/node/downstream/InvalidRequestException.java
@@ -2,13 +2,13 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that is rejected as it stands; the message is the response's body. */
+/** Rejects a request before the gateway accepts it; the message is the body of the response. */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final transient HttpResponseStatus status;
 
-  /** Has no stack trace: clients may cause many of these. */
+  /** Creates an exception without a stack trace, because clients may cause many of them. */
   InvalidRequestException(HttpResponseStatus status, String reason) {
     super(reason, null, false, false);
     this.status = status;
@@ -18,7 +18,7 @@
     return new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, reason);
   }
 
-  /** The status of the response. */
+  /** Returns the status of the response. */
   HttpResponseStatus status() {
     return status;
   }
--- a/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
+++ b/src/main/java/merlinrouter/node/downstream/MemoryBudget.java
@@ -1,11 +1,11 @@
 package merlinrouter.node.downstream;
 
 /**
- * Limits the bytes that requests hold over all connections together: the limits of each connection
- * alone would not keep a thousand of them from exhausting the memory.
+ * Limits the bytes held by the requests of all connections together: the limits per connection
+ * alone would not keep a thousand connections from exhausting the memory.
  */
 public final class MemoryBudget {
-  /** Requests up to this size, which most are, may also use the last quarter of the budget. */
+  /** Requests up to this size (most of them) may also use the last quarter of the budget. */
   private static final int SMALL_REQUEST_BYTES = 4 * 1024;
 
   private static final int RESERVED_DIVISOR = 4;
@@ -20,16 +20,17 @@
   /**
    * Creates a budget of a sixteenth of the memory, within bounds.
    *
-   * @param memoryBytes what the process may use
+   * @param memoryBytes memory that the process may use
    */
   public MemoryBudget(long memoryBytes) {
     maxBytes = Math.max(MIN_BUDGET_BYTES, Math.min(MAX_BUDGET_BYTES, memoryBytes / MEMORY_DIVISOR));
   }
 
   /**
-   * Whether a request that holds, or will hold, some bytes may go on growing. The bytes decide only
-   * whether it counts as small; they are not added, so that the budget may be exceeded by one
-   * request.
+   * Returns whether a request may grow further. Its size only decides whether it counts as small;
+   * it is not added to the used bytes, so that the budget may be exceeded by one request.
+   *
+   * @param requestBytes bytes that the request holds, or will hold
    */
   public boolean allows(long requestBytes) {
     long limit =
@@ -39,12 +40,12 @@
     return usedBytes < limit;
   }
 
-  /** Adds bytes that are now held, or, if negative, released. */
+  /** Records that bytes are now held or, if negative, released. */
   public void change(long deltaBytes) {
     usedBytes += deltaBytes;
   }
 
-  /** How many bytes are held. */
+  /** Returns how many bytes are held. */
   public long usedBytes() {
     return usedBytes;
   }
--- a/src/main/java/merlinrouter/node/downstream/ParsedRequest.java
+++ b/src/main/java/merlinrouter/node/downstream/ParsedRequest.java
@@ -5,11 +5,11 @@
 import merlinrouter.node.request.RequestTimeline;
 
 /**
- * A valid request, apart from its body.
+ * A valid request without its body.
  *
- * @param request what the gateway decides on
- * @param timeoutNanos how long its client waits from its arrival on
- * @param method the method it is forwarded with
+ * @param request the attributes that the gateway bases its decisions on
+ * @param timeoutNanos how long its client waits, counted from the arrival of the request
+ * @param method the HTTP method that it is forwarded with
  * @param uri path and query, as received
  * @param idempotencyKey null if the client sent none
  */
@@ -21,11 +21,11 @@
     String idempotencyKey) {
 
   /**
-   * Starts the request's timeline; the request counts as read now.
+   * Creates the request's timeline, on which the request is read now.
    *
    * @param arrivedAtNanos when it arrived, in {@link System#nanoTime}
    */
-  RequestTimeline timelineOnceRead(long arrivedAtNanos) {
+  RequestTimeline newTimeline(long arrivedAtNanos) {
     RequestTimeline timeline = new RequestTimeline(arrivedAtNanos, timeoutNanos);
     timeline.reach(RequestTimeline.Stage.READ);
     return timeline;
--- a/src/main/java/merlinrouter/node/downstream/QuotaHeader.java
+++ b/src/main/java/merlinrouter/node/downstream/QuotaHeader.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import merlinrouter.node.http.StrictDecimal;
 
-/** The fields of the header {@link ClientProtocol#QUOTA}, validated as they are asked for. */
+/** The fields of the header {@link ClientProtocol#QUOTA}, validated when they are read. */
 final class QuotaHeader {
   private final Map<String, String> fields = new HashMap<>();
 
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Units that the request takes from its quota.
+   * Returns the units that the request takes from its customer's quota.
    *
-   * @throws InvalidRequestException if this is no number above 0 and up to {@code maxUnits}
+   * @throws InvalidRequestException if this is not a number above 0 and up to {@code maxUnits}
    */
   double units(double maxUnits) throws InvalidRequestException {
     double units = StrictDecimal.amount(fields.get(ClientProtocol.QUOTA_UNITS), maxUnits);
@@ -43,18 +43,18 @@
   }
 
   /**
-   * How many gateways the customer's requests come through.
+   * Returns the number of gateways that receive the customer's requests.
    *
-   * @throws InvalidRequestException if this is no number from 1 to {@code gatewayCount}
+   * @throws InvalidRequestException if this is not an integer from 1 to {@code gatewayCount}
    */
   int gatewaySpread(int gatewayCount) throws InvalidRequestException {
     return wholeNumber(ClientProtocol.QUOTA_GATEWAY_SPREAD, 1, gatewayCount);
   }
 
   /**
-   * Number of the first of these gateways.
+   * Returns the index of the first of these gateways.
    *
-   * @throws InvalidRequestException if this is no number from 0 to {@code gatewayCount - 1}
+   * @throws InvalidRequestException if this is not an integer from 0 to {@code gatewayCount - 1}
    */
   int firstGateway(int gatewayCount) throws InvalidRequestException {
     return wholeNumber(ClientProtocol.QUOTA_FIRST_GATEWAY, 0, gatewayCount - 1L);
--- a/src/main/java/merlinrouter/node/downstream/RequestAssembler.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestAssembler.java
@@ -8,18 +8,18 @@
 import merlinrouter.node.http.ServiceProtocol;
 
 /**
- * Assembles the head and the body of the request that a connection is receiving, and counts the
- * bytes that the connection holds of the memory budget.
+ * Assembles the head and the body of the request that a connection is receiving, and accounts for
+ * the bytes that the connection holds in the memory budget.
  */
 final class RequestAssembler {
-  /** How many bytes of pipelined requests may wait before the connection is not read any more. */
+  /** With more undecoded bytes of pipelined requests than this, the connection is not read. */
   private static final int MAX_PIPELINED_BYTES = 4 * ServiceProtocol.MAX_BODY_BYTES;
 
   private final MemoryBudget budget;
   private final BodyAccumulator body = new BodyAccumulator(ServiceProtocol.MAX_BODY_BYTES);
   private HttpRequest head;
 
-  /** What this connection holds of the memory budget. */
+  /** Bytes of this connection that are counted in the memory budget. */
   private int budgetedBytes;
 
   RequestAssembler(MemoryBudget budget) {
@@ -27,10 +27,10 @@
   }
 
   /**
-   * Starts a request. Its body is rejected by the length that its head announces, before any of it
-   * is read.
+   * Starts a request. A body whose announced length is too large is rejected before any of it is
+   * read.
    *
-   * @throws InvalidRequestException if the body would be too large, or has no room
+   * @throws InvalidRequestException if the body would be too large, or the memory budget is used up
    */
   void start(HttpRequest requestHead) throws InvalidRequestException {
     head = requestHead;
@@ -39,14 +39,14 @@
       throw bodyTooLarge();
     }
     if (!budget.allows(length)) {
-      throw noRoom();
+      throw budgetExhausted();
     }
   }
 
   /**
-   * Adds a part of the body, which stays the caller's.
+   * Adds a part of the body, which the caller still owns.
    *
-   * @throws InvalidRequestException if the body is too large with it
+   * @throws InvalidRequestException if the part makes the body too large
    */
   void addContent(ByteBuf content) throws InvalidRequestException {
     if (!body.add(content)) {
@@ -55,22 +55,22 @@
   }
 
   /**
-   * Checks that the request that is being assembled, if any, may go on growing.
+   * Checks that the request that is being assembled, if any, may grow further.
    *
    * @throws InvalidRequestException if the memory budget is used up
    */
   void checkBudget() throws InvalidRequestException {
     if (head != null && !budget.allows(budgetedBytes)) {
-      throw noRoom();
+      throw budgetExhausted();
     }
   }
 
-  /** Whether a head has been received that was not taken. */
+  /** Returns whether a head has been received and not taken. */
   boolean hasHead() {
     return head != null;
   }
 
-  /** Returns the head, and forgets it. */
+  /** Returns the head, and clears it. */
   HttpRequest takeHead() {
     HttpRequest taken = head;
     head = null;
@@ -82,14 +82,14 @@
     return body.take();
   }
 
-  /** Drops the request that is being assembled, if any. */
+  /** Discards the request that is being assembled, if any. */
   void discard() {
     head = null;
     body.take().release();
   }
 
   /**
-   * Brings the memory budget up to date with what the connection holds now.
+   * Updates the memory budget to the bytes that the connection holds now.
    *
    * @param undecodedBytes how many received bytes are not decoded yet
    */
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Whether too much waits behind the request that was received last.
+   * Returns whether too many bytes are waiting behind the request that was received last.
    *
    * @param undecodedBytes how many received bytes are not decoded yet
    */
@@ -114,7 +114,7 @@
         HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
 
-  private static InvalidRequestException noRoom() {
+  private static InvalidRequestException budgetExhausted() {
     return new InvalidRequestException(
         HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
   }
--- a/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Netty's request decoder, but it pauses behind each request until {@link #resume}. Decoded
+ * Netty's request decoder, which here pauses after each request until {@link #resume}. Decoded
  * pipelined requests would take many times the memory of their bytes, and nothing after a rejected
  * request may be decoded at all.
  */
@@ -21,7 +21,7 @@
   private long requestArrivedNanos;
   private ChannelHandlerContext context;
 
-  /** Whether a request has been decoded in part; of a head, only whole lines are decoded. */
+  /** Whether a request has been decoded in part; heads are decoded in whole lines only. */
   private boolean partDecoded;
 
   private boolean paused;
@@ -30,9 +30,8 @@
   /**
    * Creates a decoder.
    *
-   * @param readListener called after each read, when all that may be decoded has been
-   * @param earliestArrivalNanos the earliest moment at which bytes that are read now may have
-   *     arrived
+   * @param readListener called after each read, once all bytes that may be decoded have been
+   * @param earliestArrivalNanos the earliest time at which bytes that are read now may have arrived
    */
   RequestDecoder(Runnable readListener, LongSupplier earliestArrivalNanos) {
     this.readListener = readListener;
@@ -54,8 +53,8 @@
   }
 
   /**
-   * The superclass would read on whenever auto-read is off and nothing was decoded; here the
-   * connection decides alone.
+   * Does not call the superclass, which would request another read whenever auto-read is off and
+   * nothing was decoded: only the connection decides when it is read.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext readContext) {
@@ -76,40 +75,40 @@
       super.decode(decodeContext, input, output);
       paused = !output.isEmpty() && output.get(output.size() - 1) instanceof LastHttpContent;
       arrivalTimes.removeDecoded(input.readableBytes());
-      partDecoded = !paused && (partDecoded || isMoreThanLineEnds(input, startIndex));
+      partDecoded = !paused && (partDecoded || hasOtherThanLineEnds(input, startIndex));
     }
   }
 
-  /** Whether the bytes from an index to the reader index are not only line ends, as may stray. */
-  private static boolean isMoreThanLineEnds(ByteBuf input, int startIndex) {
+  /** Returns whether any byte from an index to the reader index is not part of a stray line end. */
+  private static boolean hasOtherThanLineEnds(ByteBuf input, int startIndex) {
     int length = input.readerIndex() - startIndex;
     return input.forEachByte(startIndex, length, ByteProcessor.FIND_NON_CRLF) >= 0;
   }
 
   /**
-   * The earliest moment at which the first byte of the last decoded request may have arrived. Its
-   * client's timeout counts from then, however late the rest arrives.
+   * Returns the earliest time at which the first byte of the last decoded request may have arrived.
+   * The client's timeout counts from then, however late the rest arrives.
    */
   long requestArrivedNanos() {
     return requestArrivedNanos;
   }
 
-  /** How many received bytes are not decoded yet. */
+  /** Returns how many received bytes are not decoded yet. */
   int undecodedBytes() {
     return actualReadableBytes();
   }
 
-  /** Whether bytes of a request have been received that is not decoded as a whole yet. */
+  /** Returns whether bytes of a request that is not completely decoded have been received. */
   boolean hasPartOfRequest() {
     return partDecoded || undecodedBytes() > 0;
   }
 
-  /** Whether bytes that are received now wait undecoded. */
+  /** Returns whether decoding is paused, so that received bytes stay undecoded. */
   boolean isPaused() {
     return paused;
   }
 
-  /** Goes on decoding behind the last request. */
+  /** Resumes decoding after the last request. */
   void resume() throws Exception {
     paused = false;
     if (undecodedBytes() > 0) {
@@ -117,7 +116,7 @@
     }
   }
 
-  /** Drops all further bytes undecoded. */
+  /** Discards all further bytes without decoding them. */
   void stop() {
     stopped = true;
   }
--- a/src/main/java/merlinrouter/node/downstream/RequestHandler.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestHandler.java
@@ -5,8 +5,9 @@
 import merlinrouter.node.request.OpenRequest;
 
 /**
- * The node behind the client connections: accepts their requests and provides what they share. All
- * methods are called on the event loop only. Moments and durations are in nanoseconds.
+ * The node as used by its client connections: accepts their requests and provides the clocks,
+ * checks and log that they share. All methods are called on the event loop only. Times and
+ * durations are in nanoseconds.
  */
 public interface RequestHandler {
   /**
@@ -16,33 +17,34 @@
    */
   boolean accept(OpenRequest request);
 
-  /** Reports that the client of a request that was accepted disconnected before its response. */
+  /** Reports that the client of an accepted request disconnected before its response. */
   void clientDisconnected(OpenRequest request);
 
-  /** Whether the node's health check passes, as far as the node itself is concerned. */
+  /** Returns whether the node is ready to serve, which its health check requires. */
   boolean isReady();
 
   /**
-   * When the event loop polled its sockets before the present poll, in {@link System#nanoTime}:
-   * whatever a socket delivers now arrived after that, however long the loop was stalled since.
+   * Returns when the event loop polled its sockets before its latest poll, in {@link
+   * System#nanoTime}: whatever a socket delivers now arrived after that, however long the loop has
+   * been stalled since.
    */
   long previousPollNanos();
 
-  /** Converts a moment of {@link System#nanoTime} to the clock that the gateway's decisions use. */
+  /** Converts a time of {@link System#nanoTime} to the clock that the gateway's decisions use. */
   long toGatewayTime(long nanoTime);
 
   /**
-   * The deadline that the gateway is given for a request, earlier than the client's own by a margin
-   * for writing the response.
+   * Returns the deadline that the gateway applies to a request, which is earlier than the client's
+   * own by a margin for writing the response.
    *
    * @param arrivedAtNanos when the request arrived, by the gateway's clock
-   * @param timeoutNanos how long its client waits from then
+   * @param timeoutNanos how long its client waits from then on
    */
   long deadlineNanos(long arrivedAtNanos, long timeoutNanos);
 
-  /** The last check before a client's connection is closed. */
+  /** Returns the last check before a client connection is closed. */
   InvariantGuard guard();
 
-  /** Counts what happens on the client connections. */
+  /** Returns the log that counts the events of the client connections. */
   NodeLog log();
 }
--- a/src/main/java/merlinrouter/node/downstream/RequestParser.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestParser.java
@@ -14,11 +14,11 @@
 import merlinrouter.settings.RequestClass;
 import merlinrouter.time.Nanos;
 
-/** Parses and validates the head of a request. Has no state of its own. */
+/** Parses and validates the heads of requests. Keeps no state between them. */
 final class RequestParser {
   private static final int HEXADECIMAL = 16;
 
-  /** A client may wait for at most this many times its class's deadline. */
+  /** The maximum timeout of a client, as a multiple of the deadline of its request class. */
   private static final int MAX_TIMEOUT_FACTOR = 2;
 
   private final List<String> requestClassNames;
@@ -48,7 +48,7 @@
    * Parses a request.
    *
    * @param arrivedAtNanos when it arrived, by the gateway's clock
-   * @throws InvalidRequestException for the first thing that is wrong with it
+   * @throws InvalidRequestException with the first error that is found
    */
   ParsedRequest parse(HttpRequest head, long arrivedAtNanos) throws InvalidRequestException {
     String uri = head.uri();
@@ -98,7 +98,7 @@
     return expected;
   }
 
-  /** The key, which a class may require; null if there is none. */
+  /** Returns the idempotency key, which a class may require; null if there is none. */
   private static String idempotencyKey(HttpHeaders headers, RequestClass requestClass)
       throws InvalidRequestException {
     String key = HeaderValues.optional(headers, ServiceProtocol.IDEMPOTENCY_KEY);
@@ -108,7 +108,9 @@
     return key;
   }
 
-  /** The client's timeout; a longer one than its class allows would only keep the request open. */
+  /**
+   * Returns the client's timeout; one above the maximum would only keep the request open longer.
+   */
   private static long timeoutNanos(HttpHeaders headers, RequestClass requestClass)
       throws InvalidRequestException {
     long timeoutMs =
--- a/src/main/java/merlinrouter/node/downstream/RequestSubmitter.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestSubmitter.java
@@ -6,7 +6,7 @@
 import merlinrouter.node.request.OpenRequest;
 import merlinrouter.node.request.ResponseSink;
 
-/** Parses the whole requests of one connection and submits them to the node behind it. */
+/** Parses the complete requests of one connection and submits them to the node. */
 final class RequestSubmitter {
   private final RequestHandler handler;
   private final RequestParser parser;
@@ -15,7 +15,7 @@
   /**
    * Creates a submitter.
    *
-   * @param state of the connection, where the request is open from before it is submitted
+   * @param state the connection's state, which has the request open before it is submitted
    */
   RequestSubmitter(RequestHandler handler, RequestParser parser, ConnectionState state) {
     this.handler = handler;
@@ -26,10 +26,10 @@
   /**
    * Submits a request. The response may be written before this returns.
    *
-   * @param body stays the caller's if this throws
-   * @param arrivedNanos the earliest moment at which the request's first byte may have arrived
-   * @param responseSink takes the response
-   * @throws InvalidRequestException if the request is rejected as it stands
+   * @param body the body, which the caller still owns if this throws
+   * @param arrivedNanos the earliest time at which the request's first byte may have arrived
+   * @param responseSink receives the response
+   * @throws InvalidRequestException if the request is invalid, or one with the same id is open
    */
   void submit(HttpRequest head, ByteBuf body, long arrivedNanos, ResponseSink responseSink)
       throws InvalidRequestException {
@@ -42,7 +42,7 @@
             parsed.idempotencyKey(),
             body,
             responseSink,
-            parsed.timelineOnceRead(arrivedNanos));
+            parsed.newTimeline(arrivedNanos));
     state.setOpenRequest(request);
     if (!handler.accept(request)) {
       state.clearOpenRequest();
--- a/src/main/java/merlinrouter/node/downstream/ResponseWriter.java
+++ b/src/main/java/merlinrouter/node/downstream/ResponseWriter.java
@@ -15,7 +15,7 @@
 /** Writes responses to one connection. */
 final class ResponseWriter {
 
-  /** Retry-After is written in seconds with this many decimal places, that is in milliseconds. */
+  /** Decimal places of Retry-After, which is in seconds: its resolution is a millisecond. */
   private static final int RETRY_AFTER_SCALE = 3;
 
   private final Channel channel;
@@ -27,9 +27,10 @@
   /**
    * Writes and flushes a final response. The connection is closed if that fails.
    *
-   * @param content the body; it is released once written
-   * @param retryAfterNanos when the client may retry, from now, rounded up; 0 for no such header
-   * @param close whether to announce that the connection closes, and close it behind the response
+   * @param content the body, which is released once written
+   * @param retryAfterNanos time from now after which the client may retry, rounded up to
+   *     milliseconds; 0 for no Retry-After header
+   * @param close whether to announce that the connection closes, and close it after the response
    */
   void write(HttpResponseStatus status, ByteBuf content, long retryAfterNanos, boolean close) {
     DefaultFullHttpResponse response =
@@ -46,7 +47,7 @@
         .addListener(close ? ChannelFutureListener.CLOSE : ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
-  /** Tells the client to send the body that it announced. */
+  /** Writes an interim response (100 Continue), after which the client sends its body. */
   void writeContinue() {
     channel.writeAndFlush(
         new DefaultFullHttpResponse(
--- a/src/test/java/merlinrouter/node/downstream/MemoryBudgetTest.java
+++ b/src/test/java/merlinrouter/node/downstream/MemoryBudgetTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The limit on the bytes that requests hold. */
+/** Tests the limit on the bytes held by requests. */
 class MemoryBudgetTest {
   @Test
-  void requestsShareOneBudgetAndSmallOnesHaveTheLastQuarter() {
+  void requestsShareOneBudgetWhoseLastQuarterIsForSmallOnes() {
     MemoryBudget budget = new MemoryBudget(16 << 20);
     assertTrue(budget.allows(64 * 1024));
     budget.change(800_000);
--- a/src/test/java/merlinrouter/node/downstream/RequestParserTest.java
+++ b/src/test/java/merlinrouter/node/downstream/RequestParserTest.java
@@ -21,7 +21,7 @@
 import merlinrouter.time.Nanos;
 import org.junit.jupiter.api.Test;
 
-/** Parses heads of requests, valid ones and one of each kind that is rejected. */
+/** Tests parsing of valid request heads, and rejection of each kind of invalid head. */
 class RequestParserTest {
   private static final long CLASS_DEADLINE_MS = 30_000;
   private static final long ARRIVED_AT = 77;
