--- a/src/main/java/merlinrouter/node/request/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/request/InvariantGuard.java
@@ -3,12 +3,13 @@
 import merlinrouter.model.Idempotency;
 import merlinrouter.node.logging.NodeLog;
 import merlinrouter.settings.RequestClass;
+import merlinrouter.time.Nanos;
 
 /**
  * The last check before an attempt is started or a client connection is closed. An action that
- * would break a rule of the service is not carried out; it is counted and logged as a violation,
- * which is a fault of this program, since whatever decides should not have asked for it. Used on
- * the event loop only.
+ * would break an invariant of the service is not carried out; it is counted and logged as a
+ * violation, which is a bug: the deciding code should not have requested it. Used on the event loop
+ * only.
  */
 public final class InvariantGuard {
   private final NodeLog log;
@@ -19,19 +20,19 @@
   }
 
   /**
-   * Whether an attempt of a request may start.
+   * Returns whether an attempt of a request may start.
    *
    * @param nowNanos the time, by the gateway's clock
    */
   public boolean mayStartAttempt(OpenRequest request, RequestClass requestClass, long nowNanos) {
-    String violation = violationOfAttempt(request, requestClass, nowNanos);
+    String violation = findViolation(request, requestClass, nowNanos);
     if (violation != null) {
       log.violation(request.id(), violation);
     }
     return violation == null;
   }
 
-  private static String violationOfAttempt(
+  private static String findViolation(
       OpenRequest request, RequestClass requestClass, long nowNanos) {
     if (request.isAttemptInFlight()) {
       return "an attempt would start while another is in flight";
@@ -45,14 +46,18 @@
     long ageNanos = nowNanos - request.firstExecutionNanos();
     if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
         && ageNanos > requestClass.deduplicationWindowNanos()) {
-      return "a request with an idempotency key would be retried after its deduplication window";
+      return "a request with an idempotency key would be retried "
+          + ageNanos / Nanos.PER_MILLI
+          + " ms after its first execution, its deduplication window is "
+          + requestClass.deduplicationWindowNanos() / Nanos.PER_MILLI
+          + " ms";
     }
     return null;
   }
 
   /**
-   * Whether a client connection may be closed on the node's initiative: not over a request that has
-   * been read.
+   * Returns whether a client connection may be closed on the node's initiative, which is not
+   * allowed while a request is open on it.
    *
    * @param openRequest the request that is open on it; null if there is none
    * @param reason why it would be closed
