--- a/src/main/java/merlinrouter/node/downstream/InvalidRequestException.java
+++ b/src/main/java/merlinrouter/node/downstream/InvalidRequestException.java
@@ -2,7 +2,10 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** Rejects a request before the gateway accepts it; the message is the body of the response. */
+/**
+ * Thrown if a request is rejected before the gateway accepts it. The message is the body of the
+ * response.
+ */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/merlinrouter/node/downstream/ParsedRequest.java
+++ b/src/main/java/merlinrouter/node/downstream/ParsedRequest.java
@@ -21,7 +21,7 @@
     String idempotencyKey) {
 
   /**
-   * Creates the request's timeline, on which the request is read now.
+   * Creates the request's timeline, and records that the request was read now.
    *
    * @param arrivedAtNanos when it arrived, in {@link System#nanoTime}
    */
--- a/src/main/java/merlinrouter/node/downstream/RequestAssembler.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestAssembler.java
@@ -12,7 +12,7 @@
  * the bytes that the connection holds in the memory budget.
  */
 final class RequestAssembler {
-  /** With more undecoded bytes of pipelined requests than this, the connection is not read. */
+  /** Reading from a connection pauses above this many undecoded bytes of pipelined requests. */
   private static final int MAX_PIPELINED_BYTES = 4 * ServiceProtocol.MAX_BODY_BYTES;
 
   private final MemoryBudget budget;
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Starts a request. A body whose announced length is too large is rejected before any of it is
-   * read.
+   * Starts a request. Its body is rejected based on the length that its head announces, before any
+   * of it is read.
    *
    * @throws InvalidRequestException if the body would be too large, or the memory budget is used up
    */
--- a/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestDecoder.java
@@ -10,9 +10,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Netty's request decoder, which here pauses after each request until {@link #resume}. Decoded
- * pipelined requests would take many times the memory of their bytes, and nothing after a rejected
- * request may be decoded at all.
+ * A Netty request decoder that pauses after each request until {@link #resume}. Decoded pipelined
+ * requests would take many times the memory of their bytes, and nothing after a rejected request
+ * may be decoded at all.
  */
 final class RequestDecoder extends HttpRequestDecoder {
   private final Runnable readListener;
@@ -79,7 +79,9 @@
     }
   }
 
-  /** Returns whether any byte from an index to the reader index is not part of a stray line end. */
+  /**
+   * Returns whether the bytes from an index to the reader index include any but stray CR and LF.
+   */
   private static boolean hasOtherThanLineEnds(ByteBuf input, int startIndex) {
     int length = input.readerIndex() - startIndex;
     return input.forEachByte(startIndex, length, ByteProcessor.FIND_NON_CRLF) >= 0;
--- a/src/main/java/merlinrouter/node/downstream/RequestHandler.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestHandler.java
@@ -42,7 +42,7 @@
    */
   long deadlineNanos(long arrivedAtNanos, long timeoutNanos);
 
-  /** Returns the last check before a client connection is closed. */
+  /** Returns the guard for the last check before a client connection is closed. */
   InvariantGuard guard();
 
   /** Returns the log that counts the events of the client connections. */
--- a/src/main/java/merlinrouter/node/downstream/RequestParser.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestParser.java
@@ -109,7 +109,8 @@
   }
 
   /**
-   * Returns the client's timeout; one above the maximum would only keep the request open longer.
+   * Returns the client's timeout. One above the maximum is rejected, because it would only keep the
+   * request open longer.
    */
   private static long timeoutNanos(HttpHeaders headers, RequestClass requestClass)
       throws InvalidRequestException {
--- a/src/main/java/merlinrouter/node/downstream/RequestSubmitter.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestSubmitter.java
@@ -15,7 +15,7 @@
   /**
    * Creates a submitter.
    *
-   * @param state the connection's state, which has the request open before it is submitted
+   * @param state the connection's state, which records a request as open before it is submitted
    */
   RequestSubmitter(RequestHandler handler, RequestParser parser, ConnectionState state) {
     this.handler = handler;
--- a/src/main/java/merlinrouter/node/request/OpenRequest.java
+++ b/src/main/java/merlinrouter/node/request/OpenRequest.java
@@ -7,8 +7,8 @@
 import merlinrouter.model.Outcome;
 
 /**
- * A request that was accepted: what is forwarded to endpoints, its attempts so far, and the
- * response that is owed to its client. Used on the event loop only.
+ * An accepted request: what is forwarded to endpoints, its attempts so far, and whether its client
+ * is still owed a response. Used on the event loop only.
  */
 public final class OpenRequest {
   private final ClientRequest clientRequest;
@@ -26,7 +26,7 @@
   private Future<?> overdueTimer;
 
   /**
-   * Takes over a request.
+   * Creates an open request.
    *
    * @param idempotencyKey null if there is none
    * @param body owned by this request from now on
@@ -48,47 +48,47 @@
     this.timeline = timeline;
   }
 
-  /** The request as the gateway knows it. */
+  /** Returns the attributes that the gateway bases its decisions on. */
   public ClientRequest clientRequest() {
     return clientRequest;
   }
 
-  /** The id of the request. */
+  /** Returns the id of the request. */
   public String id() {
     return clientRequest.id();
   }
 
-  /** The HTTP method that it is forwarded with. */
+  /** Returns the HTTP method that it is forwarded with. */
   public HttpMethod method() {
     return method;
   }
 
-  /** Path and query that it is forwarded with. */
+  /** Returns the path and query that it is forwarded with. */
   public String uri() {
     return uri;
   }
 
-  /** The idempotency key; null if there is none. */
+  /** Returns the idempotency key; null if there is none. */
   public String idempotencyKey() {
     return idempotencyKey;
   }
 
-  /** The body, which stays owned by this request. */
+  /** Returns the body, which this request still owns. */
   public ByteBuf body() {
     return body;
   }
 
-  /** When the request passed the stages of its life. */
+  /** Returns the times at which the request reached its stages. */
   public RequestTimeline timeline() {
     return timeline;
   }
 
-  /** How many attempts were started. */
+  /** Returns how many attempts were started. */
   public int attempts() {
     return attempts;
   }
 
-  /** Whether an attempt has been started and has not ended. */
+  /** Returns whether an attempt has been started and has not ended. */
   public boolean isAttemptInFlight() {
     return attemptInFlight;
   }
@@ -114,32 +114,34 @@
     }
   }
 
-  /** Whether an attempt has ended that may have been executed. */
+  /** Returns whether an ended attempt may have been executed. */
   boolean isPossiblyExecuted() {
     return possiblyExecuted;
   }
 
-  /** When the first attempt that may have been executed was started, by the gateway's clock. */
+  /**
+   * Returns when the first attempt that may have been executed was started, by the gateway's clock.
+   */
   long firstExecutionNanos() {
     return firstExecutionNanos;
   }
 
-  /** Whether nothing more is owed to the client. */
+  /** Returns whether no response is owed any more: one was sent, or the client disconnected. */
   public boolean isResponded() {
     return responded;
   }
 
   /**
-   * Reads the client's connection, and returns whether the client still waits for a response as far
-   * as can be known. The client's disconnect may be handled before this returns.
+   * Reads the client's connection, and returns whether the client is still waiting for a response,
+   * as far as can be detected. The client's disconnect may be handled before this returns.
    */
   public boolean readAndCheckClientWaiting() {
     return !responded && !responseSink.readAndCheckDisconnected();
   }
 
   /**
-   * Returns where the final response goes, and marks the request as responded; null if it was so
-   * before, since a request has one final response.
+   * Returns the sink for the final response, and marks the request as responded; null if it was
+   * marked before, because a request has only one final response.
    */
   public ResponseSink takeResponseSink() {
     if (responded) {
@@ -154,7 +156,7 @@
     overdueTimer = timer;
   }
 
-  /** Releases body and timer; the request must not be used any more. */
+  /** Releases the body and cancels the timer; the request must not be used after this. */
   public void release() {
     overdueTimer.cancel(false);
     body.release();
--- a/src/main/java/merlinrouter/node/request/RequestTimeline.java
+++ b/src/main/java/merlinrouter/node/request/RequestTimeline.java
@@ -3,15 +3,15 @@
 import merlinrouter.time.Nanos;
 
 /**
- * When a request passed the stages of its life, and when its client stops waiting. Moments are of
- * {@link System#nanoTime}. Used on the event loop only.
+ * The times at which a request reached its stages, and at which its client stops waiting. Times are
+ * those of {@link System#nanoTime}. Used on the event loop only.
  */
 public final class RequestTimeline {
   /** The stages of a request, in their usual order. */
   public enum Stage {
-    /** The gateway has its last byte. */
+    /** Its last byte was read. */
     READ,
-    /** Its quota and limits permit it; it waits in its class's queue. */
+    /** It was admitted within its quota and limits, and added to the queue of its class. */
     ADMITTED,
     /** Its latest attempt was started. */
     ATTEMPT_STARTED,
@@ -29,25 +29,25 @@
   /**
    * Creates a timeline of a request that is not read yet.
    *
-   * @param arrivedAtNanos the earliest moment at which its first byte may have arrived
-   * @param timeoutNanos how long its client waits from then
+   * @param arrivedAtNanos the earliest time at which its first byte may have arrived
+   * @param timeoutNanos how long its client waits from then on
    */
   public RequestTimeline(long arrivedAtNanos, long timeoutNanos) {
     this.arrivedAtNanos = arrivedAtNanos;
     clientDeadlineNanos = arrivedAtNanos + timeoutNanos;
   }
 
-  /** The earliest moment at which the request's first byte may have arrived. */
+  /** Returns the earliest time at which the request's first byte may have arrived. */
   public long arrivedAtNanos() {
     return arrivedAtNanos;
   }
 
-  /** The moment at which the client stops waiting. */
+  /** Returns the time at which the client stops waiting. */
   public long clientDeadlineNanos() {
     return clientDeadlineNanos;
   }
 
-  /** When the final response was written; only once it was. */
+  /** Returns when the final response was written; valid only after that. */
   public long respondedAtNanos() {
     return reachedAtNanos[Stage.RESPONDED.ordinal()];
   }
@@ -63,7 +63,7 @@
     reachedAtNanos[stage.ordinal()] = atNanos;
   }
 
-  /** The stages with their times in milliseconds since the arrival, for a log line. */
+  /** Returns the stages with their times in milliseconds since the arrival, for a log line. */
   public String describe() {
     StringBuilder text = new StringBuilder("client's deadline ");
     text.append(millisSinceArrival(clientDeadlineNanos)).append(" ms after the arrival");
--- a/src/main/java/merlinrouter/node/request/ResponseSink.java
+++ b/src/main/java/merlinrouter/node/request/ResponseSink.java
@@ -2,12 +2,9 @@
 
 import io.netty.buffer.ByteBuf;
 
-/**
- * The client's side of an open request: takes its one final response. Called on the event loop
- * only.
- */
+/** Sends the one final response of an open request to its client. Called on the event loop only. */
 public interface ResponseSink {
-  /** Sends an endpoint's response with status 200; the body stays owned by the caller. */
+  /** Sends an endpoint's response with status 200; the caller still owns the body. */
   void served(ByteBuf body);
 
   /**
@@ -17,12 +14,12 @@
    */
   void rejected(long retryAfterNanos);
 
-  /** Sends a failure, which promises nothing of the request's effect. */
+  /** Sends a failure, after which it is unknown whether the request had an effect. */
   void failed();
 
   /**
    * Reads the client's connection, and returns whether the client has disconnected or may have done
-   * so unseen.
+   * so undetected.
    */
   boolean readAndCheckDisconnected();
 }
--- a/src/main/java/merlinrouter/node/request/package-info.java
+++ b/src/main/java/merlinrouter/node/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A client's request while it is open, between the client connection that it came on and the
- * attempts that forward it, and the last checks before it is forwarded or its connection is closed.
+ * Open requests, which link a client connection to the attempts that forward its request, and the
+ * last checks before an attempt is started or a client connection is closed.
  */
 package merlinrouter.node.request;
