--- a/src/main/java/merlinrouter/node/request/InvariantGuard.java
+++ b/src/main/java/merlinrouter/node/request/InvariantGuard.java
@@ -48,7 +48,7 @@
         && ageNanos > requestClass.deduplicationWindowNanos()) {
       return "a request with an idempotency key would be retried "
           + ageNanos / Nanos.PER_MILLI
-          + " ms after its first execution, its deduplication window is "
+          + " ms after it may have been executed first, its deduplication window is "
           + requestClass.deduplicationWindowNanos() / Nanos.PER_MILLI
           + " ms";
     }
