--- a/src/main/java/merlinrouter/queue/ClassQueue.java
+++ b/src/main/java/merlinrouter/queue/ClassQueue.java
@@ -5,7 +5,7 @@
 import merlinrouter.stats.ClassStatistics;
 
 /**
- * The waiting requests of one class, in the order of their arrival.
+ * The queued requests of one class, in the order in which they were added.
  *
  * @param <R> the type of the requests
  */
@@ -19,7 +19,7 @@
     this.statistics = statistics;
   }
 
-  /** The measurements of the class. */
+  /** Returns the statistics of the class. */
   public ClassStatistics statistics() {
     return statistics;
   }
@@ -29,27 +29,27 @@
     requests.add(request);
   }
 
-  /** Removes a request; nothing happens if it does not wait here. */
+  /** Removes a request; does nothing if it is not in this queue. */
   public void remove(R request) {
     requests.remove(request);
   }
 
-  /** How many requests wait. */
+  /** Returns the number of queued requests. */
   public int size() {
     return requests.size();
   }
 
-  /** Whether no request waits. */
+  /** Returns whether the queue is empty. */
   public boolean isEmpty() {
     return requests.isEmpty();
   }
 
-  /** A copy of the waiting requests, in their order. */
+  /** Returns a copy of the queued requests, in their order. */
   public List<R> snapshot() {
     return List.copyOf(requests);
   }
 
-  /** The first request that may start; null if there is none. */
+  /** Returns the first request that may start; null if none may. */
   public R firstStartable() {
     for (R request : requests) {
       if (request.mayStart()) {
@@ -59,7 +59,7 @@
     return null;
   }
 
-  /** The least valuable request, the last one among equals; null if the queue is empty. */
+  /** Returns the least valuable request, the last one among equals; null if the queue is empty. */
   R leastValuable() {
     R least = requests.peek();
     for (R request : requests) {
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The start tag of a request. It is computed at release, so that a changed share acts on requests
-   * that wait already.
+   * Returns the start tag of a request. It is not fixed at arrival, so a changed share also applies
+   * to requests that are already queued.
    */
   double startTag(R request) {
     return Math.max(request.arrivalVirtualTime(), finishTag);
--- a/src/main/java/merlinrouter/queue/FairQueue.java
+++ b/src/main/java/merlinrouter/queue/FairQueue.java
@@ -6,7 +6,7 @@
 
 /**
  * Start-time fair queueing over the request classes: each class gets its share of the releases, and
- * a class that waits for nothing leaves its share to the others.
+ * the share of a class without startable requests is available to the others.
  *
  * @param <R> the type of the requests
  */
@@ -14,7 +14,7 @@
   private final List<ClassQueue<R>> queues;
   private double virtualTime;
 
-  /** Creates an empty queue for each class; the shares have to be set before a release. */
+  /** Creates an empty queue for each class; the shares must be set before the first release. */
   public FairQueue(List<ClassStatistics> classes) {
     List<ClassQueue<R>> created = new ArrayList<>();
     for (ClassStatistics statistics : classes) {
@@ -23,43 +23,47 @@
     queues = List.copyOf(created);
   }
 
-  /** The queues by class. */
+  /** Returns the queues, in the order of the classes. */
   public List<ClassQueue<R>> queues() {
     return queues;
   }
 
-  /** Sets the shares by class. */
+  /** Sets the shares, in the order of the classes. */
   public void setShares(double[] shares) {
     for (int i = 0; i < shares.length; i++) {
       queues.get(i).setShare(shares[i]);
     }
   }
 
-  /** The start tag of the last release. */
+  /** Returns the virtual time: the start tag of the request released last. */
   public double virtualTime() {
     return virtualTime;
   }
 
   /**
-   * The queue whose first startable request has the least start tag; null if no request may start.
+   * Returns the queue whose first startable request has the lowest start tag; null if no request
+   * may start.
    */
   public ClassQueue<R> next() {
     ClassQueue<R> next = null;
-    double leastTag = 0;
+    double lowestTag = 0;
     for (ClassQueue<R> queue : queues) {
       R first = queue.firstStartable();
       if (first != null) {
         double tag = queue.startTag(first);
-        if (next == null || tag < leastTag) {
+        if (next == null || tag < lowestTag) {
           next = queue;
-          leastTag = tag;
+          lowestTag = tag;
         }
       }
     }
     return next;
   }
 
-  /** Releases the first startable request of a queue. */
+  /**
+   * Removes the first startable request from its queue and advances the virtual time to its start
+   * tag.
+   */
   public void release(ClassQueue<R> queue, R request) {
     double startTag = queue.startTag(request);
     queue.remove(request);
--- a/src/main/java/merlinrouter/queue/LoadShedder.java
+++ b/src/main/java/merlinrouter/queue/LoadShedder.java
@@ -5,52 +5,55 @@
 import merlinrouter.control.ShareController;
 
 /**
- * Shortens a queue whose last request would, by Little's law, not be served within the class's
- * latency objective. The least valuable request goes first.
+ * Sheds requests from a queue so long that, by Little's law, its last request would not be served
+ * within the latency objective of the class. The least valuable request is shed first.
  *
  * @param <R> the type of the requests
  */
 public final class LoadShedder<R extends QueuedRequest> {
-  /** Of the objective, this many service times are left for the attempt itself. */
+  /** Number of mean service times that the maximum wait leaves for the attempt itself. */
   private static final double SERVICE_TIMES_RESERVED = 2;
 
-  /** A queue may always wait for this fraction of the objective. */
-  private static final double MIN_WAIT_PER_OBJECTIVE = 1.0 / 4;
+  /** Lower bound on the maximum wait, as a fraction of the objective. */
+  private static final double MIN_MAX_WAIT_FRACTION = 1.0 / 4;
 
   private final FairQueue<R> fairQueue;
-  private final ConcurrencyController concurrency;
-  private final ConcurrencyLimiter limiter;
+  private final ConcurrencyController concurrencyController;
+  private final ConcurrencyLimiter concurrencyLimiter;
 
   /** Creates a shedder for a fair queue. */
   public LoadShedder(
-      FairQueue<R> fairQueue, ConcurrencyController concurrency, ConcurrencyLimiter limiter) {
+      FairQueue<R> fairQueue,
+      ConcurrencyController concurrencyController,
+      ConcurrencyLimiter concurrencyLimiter) {
     this.fairQueue = fairQueue;
-    this.concurrency = concurrency;
-    this.limiter = limiter;
+    this.concurrencyController = concurrencyController;
+    this.concurrencyLimiter = concurrencyLimiter;
   }
 
-  /** Removes and returns the next request to shed from a queue; null if it is short enough. */
+  /** Removes and returns the next request to shed from a queue; null if none is to be shed. */
   public R pollExcess(ClassQueue<R> queue) {
-    if (!limiter.isSaturated() || queue.size() <= 1) {
+    if (!concurrencyLimiter.isSaturated() || queue.size() <= 1) {
       return null;
     }
     if (queue.size() / releasesPerSecond(queue) <= maxWaitSeconds(queue)) {
       return null;
     }
-    R least = queue.leastValuable();
-    queue.remove(least);
-    return least;
+    R leastValuable = queue.leastValuable();
+    queue.remove(leastValuable);
+    return leastValuable;
   }
 
   /**
-   * The class's fraction of the gateway's throughput among the classes that have requests waiting.
+   * Returns the throughput of a class: its share, among the classes that have queued requests, of
+   * the gateway's throughput.
    */
   private double releasesPerSecond(ClassQueue<R> queue) {
     double backloggedShares = 0;
-    for (ClassQueue<R> each : fairQueue.queues()) {
-      backloggedShares += each.isEmpty() ? 0 : each.share();
+    for (ClassQueue<R> classQueue : fairQueue.queues()) {
+      backloggedShares += classQueue.isEmpty() ? 0 : classQueue.share();
     }
-    return concurrency.level()
+    return concurrencyController.level()
         / queue.statistics().meanServiceSeconds()
         * queue.share()
         / Math.max(ShareController.MIN_SHARE, backloggedShares);
@@ -60,6 +63,6 @@
     double objective = queue.statistics().objectiveSeconds();
     return Math.max(
         objective - SERVICE_TIMES_RESERVED * queue.statistics().meanServiceSeconds(),
-        objective * MIN_WAIT_PER_OBJECTIVE);
+        objective * MIN_MAX_WAIT_FRACTION);
   }
 }
--- a/src/main/java/merlinrouter/queue/QueuedRequest.java
+++ b/src/main/java/merlinrouter/queue/QueuedRequest.java
@@ -1,13 +1,13 @@
 package merlinrouter.queue;
 
-/** A request as its queue sees it. */
+/** A request that can be queued. */
 public interface QueuedRequest {
-  /** Whether it may be released now, as far as its customer's limits go. */
+  /** Returns whether its customer's limit on requests in flight permits releasing it now. */
   boolean mayStart();
 
-  /** The fair queue's virtual time when the request arrived. */
+  /** Returns the virtual time of the fair queue at the arrival of the request. */
   double arrivalVirtualTime();
 
-  /** Value of serving it; the least valuable requests are shed first. */
+  /** Returns the value of serving the request; the least valuable requests are shed first. */
   double value();
 }
--- a/src/main/java/merlinrouter/queue/package-info.java
+++ b/src/main/java/merlinrouter/queue/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that wait for an attempt: one queue for each request class, released by start-time fair
- * queueing, and shortened by shedding the least valuable requests where the wait would be too long.
+ * Queues of requests that wait for their first attempt, one for each request class. Start-time fair
+ * queueing releases the requests; the least valuable ones are shed if the wait would be too long.
  */
 package merlinrouter.queue;
