--- a/src/main/java/merlinrouter/gateway/Gateway.java
+++ b/src/main/java/merlinrouter/gateway/Gateway.java
@@ -25,23 +25,23 @@
 import merlinrouter.time.Nanos;
 
 /**
- * All decisions of one gateway. It takes events, asks the modules for quota, queueing, load
- * balancing and retries, and requests actions: each request gets exactly one final response unless
- * its client disconnects first. Used by one thread.
+ * Makes the decisions of one gateway: handles the events of its host with the modules for quotas,
+ * queueing, load balancing and retries, and requests actions from the host. Each request gets
+ * exactly one final response unless its client disconnects first. Used by one thread.
  */
 public final class Gateway implements GatewayEvents {
-  /** How often queued requests are checked for expiry: fine against the latency objectives. */
+  /** Interval between expiry checks of queued requests; short compared with latency objectives. */
   private static final long TIMER_INTERVAL_NANOS = 10 * Nanos.PER_MILLI;
 
   private static final long CONTROL_INTERVAL_NANOS = Nanos.PER_SECOND;
 
-  /** The only timer of a gateway. */
+  /** Token of the only timer of a gateway. */
   private static final long TIMER_TOKEN = 0;
 
   private final GatewaySettings settings;
   private final GatewayActions actions;
   private final EventClock clock;
-  private final List<ClassStatistics> classes = new ArrayList<>();
+  private final List<ClassStatistics> classStatistics = new ArrayList<>();
   private final QuotaManager quotas;
   private final FairQueue<PendingRequest> fairQueue;
   private final ShareController shareController;
@@ -51,11 +51,12 @@
   private final FixedIntervals controlIntervals;
 
   /**
-   * Starts a gateway.
+   * Creates a gateway, schedules its timer and, if the settings require it, subscribes to the
+   * endpoint list.
    *
-   * @param seed the only source of randomness
+   * @param seed seed of the only source of randomness
    * @param nowNanos the monotonic time, in nanoseconds
-   * @param actions takes what the gateway asks for
+   * @param actions performs the actions that the gateway requests
    */
   public Gateway(GatewaySettings settings, long seed, long nowNanos, GatewayActions actions) {
     this.settings = settings;
@@ -63,14 +64,14 @@
     clock = new EventClock(nowNanos);
     SplittableRandom random = new SplittableRandom(seed);
     for (RequestClass requestClass : settings.requestClasses()) {
-      classes.add(new ClassStatistics(requestClass));
+      classStatistics.add(new ClassStatistics(requestClass));
     }
     quotas =
         new QuotaManager(
-            settings, new Admissions(), actions::addToCounter, actions::log, clock, random);
-    shareController = new ShareController(classes);
-    concurrencyController = new ConcurrencyController(classes, settings.gatewayCount());
-    fairQueue = new FairQueue<>(classes);
+            settings, new AdmissionHandler(), actions::addToCounter, actions::log, clock, random);
+    shareController = new ShareController(classStatistics);
+    concurrencyController = new ConcurrencyController(classStatistics, settings.gatewayCount());
+    fairQueue = new FairQueue<>(classStatistics);
     fairQueue.setShares(shareController.shares());
     loadBalancer = new LoadBalancer(settings, actions::log, clock, random);
     dispatcher =
@@ -107,17 +108,17 @@
       actions.reject(request.id(), 0);
       return;
     }
-    PendingRequest sameId = dispatcher.get(request.id());
-    if (sameId != null) {
-      if (sameId.state() == RequestState.ABANDONED_AWAITING_COUNTER) {
-        // Neither was attempted; hosts know nothing of the first one any more.
+    PendingRequest existing = dispatcher.get(request.id());
+    if (existing != null) {
+      if (existing.state() == RequestState.ABANDONED_AWAITING_COUNTER) {
+        // Neither request was attempted, and the host no longer tracks the existing one.
         actions.reject(request.id(), 0);
       }
       return;
     }
     PendingRequest pending = open(request);
     if (dispatcher.cannotMeetObjective(pending)) {
-      // Some requests arrive with hardly any time left: the next timer would be too late.
+      // The request may have so little time left that the next expiry check would be too late.
       dispatcher.giveUp(pending);
     } else {
       quotas.admit(pending.reservation());
@@ -127,7 +128,7 @@
 
   private boolean isKnownClassAndPlan(ClientRequest request) {
     return request.classIndex() >= 0
-        && request.classIndex() < classes.size()
+        && request.classIndex() < classStatistics.size()
         && request.planIndex() >= 0
         && request.planIndex() < settings.quotaPlans().size();
   }
@@ -179,7 +180,7 @@
         dispatcher.close(pending);
       }
       default -> {
-        // The client has disconnected before; the request ends with what is under way for it.
+        // The client had disconnected already: the end of the attempt or counter call closes it.
       }
     }
   }
@@ -221,24 +222,27 @@
     shareController.update();
     fairQueue.setShares(shareController.shares());
     concurrencyController.update();
-    for (ClassStatistics statistics : classes) {
+    for (ClassStatistics statistics : classStatistics) {
       statistics.startInterval();
     }
   }
 
-  /** When an open request was admitted, for the host's log; empty if it was not or is not open. */
+  /**
+   * Returns when a request was admitted, for the host's log; empty if the request is not open or
+   * was not admitted.
+   */
   public OptionalLong admittedAtNanos(String requestId) {
     PendingRequest pending = dispatcher.get(requestId);
     return pending == null ? OptionalLong.empty() : pending.admittedAtNanos();
   }
 
-  /** How many customers and endpoints are kept. */
-  int trackedCustomersAndEndpoints() {
+  /** Returns the number of customers and endpoints that the gateway keeps state of. */
+  int trackedCustomerAndEndpointCount() {
     return quotas.accountCount() + loadBalancer.trackedCount();
   }
 
-  /** Carries out the decisions on admission. */
-  private final class Admissions implements AdmissionListener {
+  /** Applies the admission decisions of the quota module. */
+  private final class AdmissionHandler implements AdmissionListener {
     @Override
     public void admitted(QuotaReservation reservation) {
       dispatcher.enqueue(dispatcher.get(reservation.requestId()));
--- a/src/main/java/merlinrouter/gateway/GatewayActions.java
+++ b/src/main/java/merlinrouter/gateway/GatewayActions.java
@@ -1,8 +1,8 @@
 package merlinrouter.gateway;
 
 /**
- * What a gateway asks of its host, on the thread of the event that caused it and from within that
- * event. An action must not deliver an event before it returns.
+ * Actions that a gateway requests from its host. They are called on the thread that delivers an
+ * event, before the delivery returns. An action must not deliver an event before it returns.
  */
 public interface GatewayActions {
   /**
@@ -15,34 +15,40 @@
   void startAttempt(String requestId, String endpointId, long timeoutNanos);
 
   /**
-   * Sends the final response: rejected; a retry by the client is harmless.
+   * Sends the final response of a rejected request; a retry by the client is harmless.
    *
    * @param requestId the request to reject
-   * @param retryAfterNanos time after which the client should retry; 0 for no advice
+   * @param retryAfterNanos time after which the client should retry; 0 to state no time
    */
   void reject(String requestId, long retryAfterNanos);
 
-  /** Sends the final response: failed; a retry by the client may execute the request again. */
+  /**
+   * Sends the final response of a failed request: its effect is unknown, and a retry by the client
+   * may execute it again.
+   */
   void fail(String requestId);
 
-  /** Starts a health check of an endpoint; requested only where the settings allow it. */
+  /** Starts a health check of an endpoint; requested only if the settings allow health checks. */
   void startHealthCheck(String endpointId);
 
   /**
    * Adds to a counter of the shared quota service.
    *
-   * @param counterKey names the counter
-   * @param amount units to add; negative to take back
-   * @param timeToLiveNanos how long the counter lives from its first addition
+   * @param counterKey identifies the counter
+   * @param units units to add; negative to return units
+   * @param timeToLiveNanos lifetime of the counter, counted from its first addition
    */
-  void addToCounter(long counterKey, double amount, long timeToLiveNanos);
+  void addToCounter(long counterKey, double units, long timeToLiveNanos);
 
   /** Requests {@link GatewayEvents#timerFired} after a delay. */
   void scheduleTimer(long token, long delayNanos);
 
-  /** Subscribes to the endpoint list, where the settings require it. */
+  /**
+   * Subscribes to updates of the endpoint list. Requested at the start if the settings require a
+   * subscription, and after each subscription that failed.
+   */
   void subscribeToEndpoints();
 
-  /** Writes a line for operators. */
+  /** Writes a log line for operators. */
   void log(String line);
 }
--- a/src/main/java/merlinrouter/gateway/GatewayEvents.java
+++ b/src/main/java/merlinrouter/gateway/GatewayEvents.java
@@ -8,34 +8,37 @@
 import merlinrouter.model.Outcome;
 
 /**
- * What a host reports to its gateway, in the order in which things happen. Each event carries the
- * monotonic time in nanoseconds. One thread at a time may call; an event must not be delivered from
- * within an action.
+ * Events that a host reports to its gateway, in the order in which they occur. Each event carries
+ * the monotonic time in nanoseconds. Calls must not overlap, and an event must not be delivered
+ * from within an action.
  */
 public interface GatewayEvents {
-  /** The endpoint list, or changes to it. */
+  /** Reports an update of the endpoint list, or that a subscription to it failed. */
   void endpointsUpdated(long nowNanos, EndpointUpdateType type, List<Endpoint> endpoints);
 
   /**
-   * A request arrived; exactly one final response is owed. A request with the id of one that is
-   * open is ignored: a host must not deliver it. It is rejected if the client of that one
-   * disconnected before an attempt.
+   * Reports a request; exactly one final response is due unless the client disconnects. A host must
+   * not deliver a request that has the id of an open one: it is ignored. If the client of the open
+   * request disconnected before an attempt, the new request is rejected instead.
    */
   void requestReceived(long nowNanos, ClientRequest request);
 
-  /** An attempt is over; each attempt ends exactly once. */
+  /** Reports the end of an attempt; each attempt ends exactly once. */
   void attemptEnded(long nowNanos, AttemptResult result);
 
-  /** The response of a request began to stream. Reported by the simulator; causes no action. */
+  /** Reports the start of a response. Only the simulator reports it; it causes no action. */
   void responseStarted(long nowNanos, String requestId);
 
-  /** The client disconnected; nothing is owed any more. */
+  /** Reports that the client disconnected; no response is due any more. */
   void clientDisconnected(long nowNanos, String requestId);
 
-  /** A call to the counter ended; calls with one key end in their order. */
+  /** Reports the end of a counter call; calls with the same key end in their starting order. */
   void counterCallEnded(long nowNanos, long counterKey, Outcome outcome, double total);
 
-  /** A health check ended; only the load report is used, which is empty if there is none. */
+  /**
+   * Reports the end of a health check. Only the load report is used; it is empty if the endpoint
+   * sent none.
+   */
   void healthCheckEnded(
       long nowNanos,
       String endpointId,
@@ -43,6 +46,6 @@
       long durationNanos,
       List<Double> loadReport);
 
-  /** The timer fired; a gateway has one, so that the token is not used. */
+  /** Reports that the timer fired; a gateway has only one timer and ignores the token. */
   void timerFired(long nowNanos, long token);
 }
--- a/src/main/java/merlinrouter/gateway/PendingRequest.java
+++ b/src/main/java/merlinrouter/gateway/PendingRequest.java
@@ -16,7 +16,7 @@
 import merlinrouter.stats.ClassStatistics;
 import merlinrouter.time.Nanos;
 
-/** A request from its arrival to its end: its state, its attempts and what it holds. */
+/** An open request: its state, queue, quota reservation and attempts. */
 final class PendingRequest implements QueuedRequest, BalancedRequest {
   private final ClientRequest request;
   private final ClassQueue<PendingRequest> queue;
@@ -43,7 +43,10 @@
     this.arrivalVirtualTime = arrivalVirtualTime;
   }
 
-  /** The moment up to which a response earns the full value. */
+  /**
+   * Returns the time up to which a response earns the full value: that of the latency objective or
+   * the deadline, whichever is earlier.
+   */
   static long objectiveAtNanos(
       ClientRequest request, RequestClass requestClass, long arrivedAtNanos) {
     return Math.min(arrivedAtNanos + requestClass.latencyObjectiveNanos(), request.deadlineNanos());
@@ -90,37 +93,38 @@
   }
 
   /**
-   * Moves the request to another state.
+   * Changes the state of the request.
    *
-   * @throws IllegalStateException if that state may not follow the present one
+   * @throws IllegalStateException if the transition from the current state is not allowed
    */
   void transitionTo(RequestState next) {
-    if (!state.mayBecome(next)) {
-      throw new IllegalStateException("request " + id() + ": " + state + " cannot become " + next);
+    if (!state.mayTransitionTo(next)) {
+      throw new IllegalStateException(
+          "request " + id() + ": transition from " + state + " to " + next + " is not allowed");
     }
     state = next;
   }
 
-  /** Records that quota and limits permit the request, which waits for its first attempt now. */
+  /** Records that the request was admitted and is queued for its first attempt. */
   void admitted(long nowNanos) {
     transitionTo(RequestState.QUEUED);
     admittedAtNanos = OptionalLong.of(nowNanos);
   }
 
-  /** When the request was admitted; empty if it was not. */
+  /** Returns when the request was admitted; empty if it was not. */
   OptionalLong admittedAtNanos() {
     return admittedAtNanos;
   }
 
-  /** Records that an attempt starts. */
-  void attemptStarted(EndpointTracker chosen, long nowNanos) {
+  /** Records the start of an attempt. */
+  void attemptStarted(EndpointTracker attemptEndpoint, long nowNanos) {
     transitionTo(RequestState.IN_FLIGHT);
     attempts++;
-    endpoint = chosen;
+    endpoint = attemptEndpoint;
     attemptStartedAtNanos = nowNanos;
   }
 
-  /** Records that the attempt ended. */
+  /** Records the end of the attempt in flight. */
   void attemptEnded(Outcome outcome) {
     if (!outcome.provesNotExecuted()) {
       history.recordPossibleExecution(attemptStartedAtNanos, endpoint.endpoint());
@@ -128,17 +132,17 @@
     endpoint = null;
   }
 
-  /** The endpoint of the attempt in flight; null if there is none. */
+  /** Returns the endpoint of the attempt in flight; null if no attempt is in flight. */
   EndpointTracker endpoint() {
     return endpoint;
   }
 
-  /** Whether an attempt is in flight. */
+  /** Returns whether an attempt is in flight. */
   boolean hasAttemptInFlight() {
     return endpoint != null;
   }
 
-  /** The request as the retry policy sees it after an attempt with some outcome. */
+  /** Returns the input of the retry policy after an attempt with the given outcome. */
   RetryCandidate asRetryCandidate(Outcome lastOutcome) {
     return new RetryCandidate(
         requestClass(),
@@ -149,7 +153,7 @@
         lastOutcome);
   }
 
-  /** What the attempt that ended now showed. */
+  /** Returns the statistics sample of an attempt that has just ended. */
   AttemptSample sample(AttemptResult result, long nowNanos) {
     return new AttemptSample(
         result.outcome(),
--- a/src/main/java/merlinrouter/gateway/RequestDispatcher.java
+++ b/src/main/java/merlinrouter/gateway/RequestDispatcher.java
@@ -21,8 +21,8 @@
 import merlinrouter.time.EventClock;
 
 /**
- * Moves admitted requests through their queue and their attempts to their final response, and holds
- * the requests that are open.
+ * Keeps the open requests: queues those that were admitted, starts their attempts and retries, and
+ * requests their final responses.
  */
 final class RequestDispatcher {
   private final GatewayActions actions;
@@ -42,7 +42,7 @@
   /**
    * Creates a dispatcher without requests.
    *
-   * @param timerIntervalNanos how often {@link #giveUpExpired} is called
+   * @param timerIntervalNanos interval between calls of {@link #giveUpExpired}
    */
   RequestDispatcher(
       GatewaySettings settings,
@@ -65,17 +65,17 @@
     deadlinePolicy = new DeadlinePolicy(settings, clock, timerIntervalNanos);
   }
 
-  /** Returns an open request; null if none has this id. */
+  /** Returns the open request with an id; null if there is none. */
   PendingRequest get(String requestId) {
     return requestsById.get(requestId);
   }
 
-  /** Handles a request that arrived. */
+  /** Adds a request that has just arrived to the open requests. */
   void add(PendingRequest pending) {
     requestsById.put(pending.id(), pending);
   }
 
-  /** Queues an admitted request; sheds load where the queue grows too long. */
+  /** Queues an admitted request, sheds load from a long queue, and starts a due health check. */
   void enqueue(PendingRequest pending) {
     pending.admitted(clock.nowNanos());
     pending.queue().add(pending);
@@ -84,13 +84,13 @@
       giveUp(excess);
       excess = loadShedder.pollExcess(pending.queue());
     }
-    Endpoint toCheck = loadBalancer.chooseForHealthCheck(pending);
-    if (toCheck != null) {
-      actions.startHealthCheck(toCheck.id());
+    Endpoint endpointToCheck = loadBalancer.chooseForHealthCheck(pending);
+    if (endpointToCheck != null) {
+      actions.startHealthCheck(endpointToCheck.id());
     }
   }
 
-  /** Gives up queued requests that cannot meet their objective; not only the first of a queue. */
+  /** Gives up each queued request that is too late to serve, wherever it is in its queue. */
   void giveUpExpired() {
     for (ClassQueue<PendingRequest> queue : fairQueue.queues()) {
       if (queue.isEmpty()) {
@@ -105,15 +105,15 @@
     }
   }
 
-  /** Whether a request that has not been attempted cannot be served within its objective. */
+  /** Returns whether it is too late to serve a request, not yet attempted, within its objective. */
   boolean cannotMeetObjective(PendingRequest pending) {
     return deadlinePolicy.cannotMeetObjective(
         pending.objectiveAtNanos(), pending.expectedServiceSeconds());
   }
 
   /**
-   * Starts first attempts of queued requests while the concurrency level permits. Where no endpoint
-   * may get the next request now, the others wait behind it, whatever their class.
+   * Starts first attempts of queued requests while the concurrency level permits. If no endpoint
+   * may receive the next request now, all other requests wait as well, whatever their class.
    */
   void dispatchQueued() {
     while (concurrencyLimiter.permitsFirstAttempt()) {
@@ -159,7 +159,7 @@
     actions.startAttempt(pending.id(), endpoint.endpoint().id(), timeoutNanos);
   }
 
-  /** Updates the statistics by an attempt that ended, and retries the request or ends it. */
+  /** Records the result of an attempt, then retries or closes the request. */
   void completeAttempt(PendingRequest pending, AttemptResult result) {
     concurrencyLimiter.release(result.durationNanos());
     loadBalancer.attemptEnded(pending.endpoint(), pending, result);
@@ -174,8 +174,8 @@
   }
 
   private void settleUnits(PendingRequest pending, AttemptResult result) {
-    boolean known = reportsActualUnits && result.actualUnits() > 0;
-    if (known && result.outcome() == Outcome.OK) {
+    boolean actualUnitsKnown = reportsActualUnits && result.actualUnits() > 0;
+    if (actualUnitsKnown && result.outcome() == Outcome.OK) {
       pending.reservation().settle(result.actualUnits());
     }
   }
@@ -191,15 +191,15 @@
     }
   }
 
-  /** Rejects a request whose quota or hard limit is used up for some seconds. */
+  /** Rejects a request that exceeds a quota or hard limit, which refills within some seconds. */
   void rejectOverQuota(PendingRequest pending, double retryAfterSeconds) {
     actions.reject(pending.id(), retryAfter.nanos(retryAfterSeconds));
     close(pending);
   }
 
   /**
-   * Sends the final response of a request that is not served: it is rejected if a retry by the
-   * client would be harmless, else failed.
+   * Ends a request that is not served: rejects it if a retry by the client would be harmless, and
+   * fails it otherwise.
    */
   void giveUp(PendingRequest pending) {
     if (RetryPolicy.isClientRetryHarmless(pending.requestClass(), pending.history())) {
@@ -210,13 +210,13 @@
     close(pending);
   }
 
-  /** When, by Little's law, what is queued now will have been sent. */
+  /** Returns the expected time, by Little's law, until all requests of its queue are forwarded. */
   private double queueDrainSeconds(PendingRequest pending) {
     double queuedPerLevel = pending.queue().size() / concurrencyController.level();
     return pending.statistics().meanServiceSeconds() * (1 + queuedPerLevel);
   }
 
-  /** Ends a request that is owed nothing more; does nothing if it has ended. */
+  /** Closes a request to which no response is due any more; does nothing if it is closed. */
   void close(PendingRequest pending) {
     if (requestsById.remove(pending.id()) != null) {
       pending.transitionTo(RequestState.FINISHED);
--- a/src/main/java/merlinrouter/gateway/RequestState.java
+++ b/src/main/java/merlinrouter/gateway/RequestState.java
@@ -3,42 +3,42 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Where a request is in its life cycle. */
+/** States of a request, from its arrival to its end. */
 enum RequestState {
-  /** It arrived, and nothing was decided yet. */
+  /** Received; no admission decision has been made. */
   RECEIVED,
-  /** Its admission waits for the shared counter. */
+  /** The admission decision waits for the shared counter. */
   AWAITING_COUNTER,
-  /** Its admission waits for the shared counter, and its client has disconnected. */
+  /** The admission decision waits for the shared counter; the client has disconnected. */
   ABANDONED_AWAITING_COUNTER,
-  /** It was admitted and waits for an attempt. */
+  /** Admitted; waits for its first attempt. */
   QUEUED,
   /** An attempt is in flight. */
   IN_FLIGHT,
-  /** An attempt is in flight, and the client has disconnected. */
+  /** An attempt is in flight; the client has disconnected. */
   ABANDONED_IN_FLIGHT,
-  /** Its final response was sent, or its client has disconnected; nothing is in flight. */
+  /** The final response was sent or the client has disconnected; nothing is in flight. */
   FINISHED;
 
-  /** The states that may follow. */
-  private Set<RequestState> next() {
+  /** Returns the states that may follow this one. */
+  private Set<RequestState> successors() {
     return switch (this) {
       case RECEIVED -> EnumSet.of(AWAITING_COUNTER, QUEUED, FINISHED);
       case AWAITING_COUNTER -> EnumSet.of(QUEUED, ABANDONED_AWAITING_COUNTER, FINISHED);
       case QUEUED -> EnumSet.of(IN_FLIGHT, FINISHED);
-      // An attempt that ended may be followed by another one at once.
+      // A retry may start immediately after the end of an attempt.
       case IN_FLIGHT -> EnumSet.of(IN_FLIGHT, ABANDONED_IN_FLIGHT, FINISHED);
       case ABANDONED_AWAITING_COUNTER, ABANDONED_IN_FLIGHT -> EnumSet.of(FINISHED);
       case FINISHED -> EnumSet.noneOf(RequestState.class);
     };
   }
 
-  /** Whether a state may follow this one. */
-  boolean mayBecome(RequestState state) {
-    return next().contains(state);
+  /** Returns whether the transition from this state to another one is allowed. */
+  boolean mayTransitionTo(RequestState next) {
+    return successors().contains(next);
   }
 
-  /** Whether the client has disconnected while something is under way. */
+  /** Returns whether the client has disconnected during a counter call or an attempt. */
   boolean isAbandoned() {
     return this == ABANDONED_AWAITING_COUNTER || this == ABANDONED_IN_FLIGHT;
   }
--- a/src/main/java/merlinrouter/gateway/package-info.java
+++ b/src/main/java/merlinrouter/gateway/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The gateway's decision core: takes events from its host, asks the modules for quota, queueing,
- * load balancing and retries, and requests actions. No I/O, no threads and no clock of its own.
+ * The decision core of a gateway: handles the events of its host with the modules for quotas,
+ * queueing, load balancing and retries, and requests actions. It performs no I/O and has neither
+ * threads nor a clock of its own.
  */
 package merlinrouter.gateway;
--- a/src/test/java/merlinrouter/gateway/RequestStateTest.java
+++ b/src/test/java/merlinrouter/gateway/RequestStateTest.java
@@ -32,7 +32,7 @@
   void onlyTheTransitionsOfTheTableAreAllowed(RequestState state) {
     for (RequestState next : RequestState.values()) {
       boolean allowed = SUCCESSORS.get(state).contains(next);
-      assertEquals(allowed, state.mayBecome(next), state + " to " + next);
+      assertEquals(allowed, state.mayTransitionTo(next), state + " to " + next);
     }
   }
 
--- a/src/test/java/merlinrouter/gateway/RetentionTest.java
+++ b/src/test/java/merlinrouter/gateway/RetentionTest.java
@@ -26,17 +26,17 @@
     String open = host.request(NON_IDEMPOTENT, 0, 1000, 1, host.nowNanos + 90 * PER_SECOND);
     host.endAttempt(requestUnits(host, 1001, 4), Outcome.OK);
     host.advance(2 * PER_SECOND);
-    assertEquals(304, host.gateway.trackedCustomersAndEndpoints());
+    assertEquals(304, host.gateway.trackedCustomerAndEndpointCount());
     String early = requestUnits(host, 1001, 4);
     assertTrue(host.rejected.contains(early), "a quota that is used up must not be forgotten");
     host.advance(50 * PER_SECOND);
     assertEquals(
         3,
-        host.gateway.trackedCustomersAndEndpoints(),
+        host.gateway.trackedCustomerAndEndpointCount(),
         "two endpoints and the customer whose request is open");
     host.endAttempt(open, Outcome.OK);
     host.advance(50 * PER_SECOND);
-    assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+    assertEquals(2, host.gateway.trackedCustomerAndEndpointCount());
     String later = requestUnits(host, 1001, 4);
     assertEquals(1, host.attemptsOf(later).size());
   }
@@ -50,9 +50,9 @@
       for (long customer = 0; customer < 300; customer++) {
         host.endAttempt(requestUnits(host, customer, 1), Outcome.OK);
       }
-      assertEquals(302, host.gateway.trackedCustomersAndEndpoints());
+      assertEquals(302, host.gateway.trackedCustomerAndEndpointCount());
       host.advance(50 * PER_SECOND);
-      assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+      assertEquals(2, host.gateway.trackedCustomerAndEndpointCount());
     }
   }
 
@@ -70,15 +70,17 @@
       host.updateEndpoint("n" + i, 0, EndpointState.REMOVED, 0);
     }
     assertEquals(
-        102, host.gateway.trackedCustomersAndEndpoints(), "for a while they might come back");
+        102, host.gateway.trackedCustomerAndEndpointCount(), "for a while they might come back");
     host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
     host.advance(31 * PER_SECOND);
     host.updateEndpoint("b", 0, EndpointState.READY, 0);
     assertEquals(
-        3, host.gateway.trackedCustomersAndEndpoints(), "the customer, b, and a with its attempt");
+        3,
+        host.gateway.trackedCustomerAndEndpointCount(),
+        "the customer, b, and a with its attempt");
     host.endAttempt(id, Outcome.RESET);
     assertTrue(host.failed.contains(id));
     host.updateEndpoint("unknown", 0, EndpointState.REMOVED, 0);
-    assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+    assertEquals(2, host.gateway.trackedCustomerAndEndpointCount());
   }
 }
