--- a/src/main/java/merlinrouter/gateway/PendingRequest.java
+++ b/src/main/java/merlinrouter/gateway/PendingRequest.java
@@ -100,7 +100,7 @@
   void transitionTo(RequestState next) {
     if (!state.mayTransitionTo(next)) {
       throw new IllegalStateException(
-          "request " + id() + ": transition from " + state + " to " + next + " is not allowed");
+          "request " + id() + ": illegal state transition from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/merlinrouter/queue/FairQueue.java
+++ b/src/main/java/merlinrouter/queue/FairQueue.java
@@ -60,10 +60,7 @@
     return next;
   }
 
-  /**
-   * Removes the first startable request from its queue and advances the virtual time to its start
-   * tag.
-   */
+  /** Removes the first startable request of a queue; its start tag becomes the virtual time. */
   public void release(ClassQueue<R> queue, R request) {
     double startTag = queue.startTag(request);
     queue.remove(request);
