--- a/src/test/java/merlinrouter/gateway/ConcurrencyLevelTest.java
+++ b/src/test/java/merlinrouter/gateway/ConcurrencyLevelTest.java
@@ -10,24 +10,25 @@
 import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** How many attempts a gateway has in flight. */
+/** The number of attempts that a gateway has in flight. */
 class ConcurrencyLevelTest {
   @Test
-  void oneGatewayOfManyHasOneAttemptInFlightAndPausesWhereThatIsTooMuch() {
+  void oneGatewayOfManyHasOneAttemptInFlightAndPausesIfThatIsTooMany() {
     for (int gatewayCount : new int[] {100, 240}) {
       SimulatedHost host = new SimulatedHost(UNLIMITED, gatewayCount, 0).withEndpoints(20);
       String first = host.request(IDEMPOTENT, 1);
       host.request(IDEMPOTENT, 1);
-      assertEquals(1, host.attempts.size(), "two of each gateway would overload 20 endpoints");
+      assertEquals(
+          1, host.attempts.size(), "two attempts of each gateway would overload 20 endpoints");
       host.endAttempt(first, Outcome.OK);
-      // Each of 240 gateways has half an attempt in flight: after 20 ms of work, a pause of 20 ms.
+      // The level of each of 240 gateways is 0.5: it pauses for 20 ms after an attempt of 20 ms.
       assertEquals(gatewayCount == 100 ? 2 : 1, host.attempts.size());
       host.advance(30 * PER_MILLI);
       assertEquals(2, host.attempts.size());
     }
   }
 
-  /** A broken connection says nothing of load, so it must not count as a slow response. */
+  /** A broken connection does not indicate load, so it must not count as a slow response. */
   @Test
   void brokenConnectionsDoNotLowerTheLevel() {
     SimulatedHost host = new SimulatedHost(UNLIMITED, 1, 0).withEndpoints(4);
@@ -52,7 +53,7 @@
     assertEquals(24, host.attempts.size() - before, "six for each endpoint");
   }
 
-  /** One gateway of many gets ten responses a second, too few for a slow tenth to mean anything. */
+  /** Ten responses per second at one gateway are too few for a meaningful 90th percentile. */
   @Test
   void twoTimeoutsAmongTenResponsesDoNotLowerTheLevel() {
     SimulatedHost host = new SimulatedHost(UNLIMITED, 14, 0).withEndpoints(60);
@@ -71,6 +72,8 @@
       host.advance(PER_SECOND);
     }
     assertEquals(
-        26, host.attempts.size() - ended, "six for each of 60 endpoints, divided by 14 gateways");
+        26,
+        host.attempts.size() - ended,
+        "six for each of 60 endpoints, divided among 14 gateways");
   }
 }
--- a/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
+++ b/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
@@ -11,14 +11,14 @@
 import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** How many calls to the shared counter a gateway makes, and for which requests. */
+/** The rate and the priorities of the calls that a gateway makes to the shared counter. */
 class CounterCallRateTest {
   @Test
-  void unknownCustomersThatArriveTogetherDoNotExceedTheRate() {
+  void simultaneousRequestsOfUnknownCustomersDoNotExceedTheRate() {
     SimulatedHost host = new SimulatedHost(quota(10, 30), 300, 0).withEndpoints(20);
     int maxCalls = 0;
     for (int tick = 0; tick < 500; tick++) {
-      // A hundred unknown customers arrive at once, and the counter rejects every call.
+      // A hundred unknown customers send requests together, and the counter rejects every call.
       if (tick % 100 == 0) {
         for (int customer = 0; customer < 100; customer++) {
           host.request(IDEMPOTENT, 0, 1000 * tick + customer, 2, host.nowNanos + 3 * PER_SECOND);
@@ -29,18 +29,18 @@
       maxCalls = Math.max(maxCalls, calls.size());
       calls.forEach(call -> host.endCounterCall(call, Outcome.REJECTED, 0));
     }
-    assertTrue(maxCalls >= 1 && maxCalls <= 2, "calls at one moment: " + maxCalls);
+    assertTrue(maxCalls >= 1 && maxCalls <= 2, "most calls in one tick: " + maxCalls);
   }
 
   @Test
-  void callsWithMoreAtStakeGoFirst() {
+  void callsForMoreUnitsHavePriority() {
     SimulatedHost host = new SimulatedHost(quota(10, 30), 300, 0).withEndpoints(20);
     int[] callsByUnits = new int[5];
     for (int tick = 0; tick < 2000; tick++) {
-      // Each customer comes with one request, of 1 or 4 units by turns; calls suffice for few.
+      // Each customer sends one request, alternately of 1 and 4 units; few get a call.
       int units = tick % 2 == 0 ? 1 : 4;
       String id = host.request(IDEMPOTENT, 0, tick, units, host.nowNanos + 3 * PER_SECOND);
-      // Every answer is slow, so that the rate stays low.
+      // Every answer is slow, so the rate stays low.
       host.advance(20 * PER_MILLI);
       for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
         callsByUnits[(int) Math.max(0, call.units())]++;
@@ -52,7 +52,7 @@
         callsByUnits[4] > 2 * callsByUnits[1], "calls by units: " + Arrays.toString(callsByUnits));
   }
 
-  /** The counter bears a rate that all gateways of a fleet share from the start. */
+  /** The gateways of a fleet share the rate that the counter can sustain, from their start on. */
   @Test
   void theInitialRateIsDividedAmongTheGateways() {
     assertTrue(callsInFirstSecond(2) >= 20);
@@ -73,9 +73,9 @@
     return answered;
   }
 
-  /** A connection that breaks now and then shows neither a silent nor an overloaded counter. */
+  /** Occasional broken connections indicate neither a silent nor an overloaded counter. */
   @Test
-  void brokenConnectionsNeitherSilenceTheCounterNorLowerTheRate() {
+  void brokenConnectionsNeitherMarkTheCounterSilentNorLowerTheRate() {
     SimulatedHost host = new SimulatedHost(quota(5, 10), 4, 0).withEndpoints(4);
     int calls = 0;
     for (int tick = 0; tick < 3000; tick++) {
@@ -89,28 +89,34 @@
       }
     }
     assertTrue(
-        host.logLines.stream().noneMatch(line -> line.contains("silent")), "" + host.logLines);
+        host.logLines.stream().noneMatch(line -> line.contains("silent")),
+        "log lines: " + host.logLines);
     assertTrue(calls > 300, calls + " calls in 30 s");
   }
 
-  /** Some calls are late by chance, so a rate lowered for each would leave the counter idle. */
+  /** Some answers are late by chance; a rate lowered for each would leave the counter idle. */
   @Test
-  void theRateFallsWhereAllAnswersAreLateButNotForAFew() {
+  void theRateFallsIfAllAnswersAreLateButNotIfAFewAre() {
     int someLate = callsWithLateAnswers(5);
     int allLate = callsWithLateAnswers(1);
-    assertTrue(someLate > 300, "of 500 customers: " + someLate);
-    assertTrue(allLate < someLate / 3, "while every answer is late: " + allLate);
+    assertTrue(someLate > 300, "calls for 500 customers with some answers late: " + someLate);
+    assertTrue(
+        allLate < someLate / 3, "calls for 500 customers with every answer late: " + allLate);
   }
 
-  /** Returns the calls for 500 customers in 25 s, where every so many answers one is late. */
-  private static int callsWithLateAnswers(int lateEvery) {
+  /**
+   * Returns the number of calls for 500 customers in 25 s.
+   *
+   * @param lateInterval one of this many answers is late
+   */
+  private static int callsWithLateAnswers(int lateInterval) {
     SimulatedHost host = new SimulatedHost(quota(10, 30), 14, 0).withEndpoints(20);
     int calls = 0;
     for (long customer = 0; customer < 500; customer++) {
       host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 900 * PER_MILLI);
       List<SimulatedHost.CounterCall> made = host.takeCounterCalls();
       calls++;
-      long answerNanos = calls % lateEvery == 0 ? 40 * PER_MILLI : 5 * PER_MILLI;
+      long answerNanos = calls % lateInterval == 0 ? 40 * PER_MILLI : 5 * PER_MILLI;
       calls += made.size() - 1;
       host.nowNanos += answerNanos;
       made.forEach(call -> host.answerCounterCall(call, call.units()));
@@ -121,15 +127,15 @@
 
   /** Calls that a decision waits for must not use up the rate that reports need. */
   @Test
-  void useIsReportedThoughCallsAreScarce() {
+  void useIsReportedEvenIfCallsAreScarce() {
     SimulatedHost host = new SimulatedHost(quota(10, 30), 14, 0).withEndpoints(20);
     double reportedUnits = 0;
     int ended = 0;
     for (int tick = 0; tick < 2000; tick++) {
-      // Ten customers come again and again; each of the others is unknown and needs a total.
+      // Ten customers send requests repeatedly; each other one is unknown and needs a total.
       long customer = tick % 4 == 0 ? tick % 10 : 100 + tick;
       host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 900 * PER_MILLI);
-      // As late as the answers of a counter at its best load.
+      // As late as the answers of a counter at its optimal load.
       host.nowNanos += 20 * PER_MILLI;
       for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
         reportedUnits += call.units();
@@ -142,6 +148,6 @@
     }
     assertTrue(
         reportedUnits > 0.9 * host.attempts.size(),
-        "reported " + reportedUnits + " of " + host.attempts.size());
+        "units reported: " + reportedUnits + ", forwarded: " + host.attempts.size());
   }
 }
--- a/src/test/java/merlinrouter/gateway/DeadlineTest.java
+++ b/src/test/java/merlinrouter/gateway/DeadlineTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aRequestThatArrivesWithNoTimeLeftIsRejectedAtOnce() {
+  void aRequestThatArrivesWithNoTimeLeftIsRejectedImmediately() {
     host.withEndpoints(1);
     String id = host.request(IDEMPOTENT, 0, 1, 1, host.nowNanos + PER_MILLI);
     assertEquals(List.of(id), host.rejected);
--- a/src/test/java/merlinrouter/gateway/DrainingTest.java
+++ b/src/test/java/merlinrouter/gateway/DrainingTest.java
@@ -15,7 +15,7 @@
   private final SimulatedHost host = new SimulatedHost(UNLIMITED, 3, 0);
 
   @Test
-  void aDrainingEndpointGetsNothingUntilItIsReadyAgain() {
+  void aDrainingEndpointGetsNoRequestsUntilItIsReadyAgain() {
     host.withEndpoints(1);
     host.updateEndpoint("a", 0, EndpointState.DRAINING, 0);
     host.request(IDEMPOTENT, 1);
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void anEndpointThatAFullListDoesNotNameIsRemoved() {
+  void anEndpointMissingFromAFullListIsRemoved() {
     host.withEndpoints(2);
     host.gateway.endpointsUpdated(host.nowNanos, EndpointUpdateType.FULL, List.of());
     host.request(IDEMPOTENT, 1);
--- a/src/test/java/merlinrouter/gateway/EndpointSlowStartTest.java
+++ b/src/test/java/merlinrouter/gateway/EndpointSlowStartTest.java
@@ -13,7 +13,7 @@
 import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** What one gateway sends to an endpoint that is warming up. */
+/** Requests of one gateway to an endpoint that is warming up. */
 class EndpointSlowStartTest {
   private final SimulatedHost host = new SimulatedHost(UNLIMITED, 3, 0);
 
@@ -27,11 +27,11 @@
     for (int i = 0; i < 20; i++) {
       host.request(IDEMPOTENT, 1);
     }
-    assertTrue(host.attempts.size() <= 1, "sent at once: " + host.attempts.size());
+    assertTrue(host.attempts.size() <= 1, "attempts started immediately: " + host.attempts.size());
   }
 
   @Test
-  void anEndpointThatIsWarmingUpGetsLessThanAWarmOne() {
+  void anEndpointThatIsWarmingUpGetsFewerRequestsThanAWarmOne() {
     host.withEndpoints(4);
     host.updateEndpoint("z", 0, EndpointState.READY, host.nowNanos);
     Map<String, Integer> attempts = new HashMap<>();
@@ -43,7 +43,8 @@
     host.attempts.forEach(attempt -> attempts.merge(attempt.endpointId(), 1, Integer::sum));
     int warmingUp = attempts.getOrDefault("z", 0);
     int warm = (300 - warmingUp) / 4;
-    assertTrue(warmingUp > 0, "without requests it would stay cold");
-    assertTrue(warmingUp < 0.6 * warm, "warming up " + warmingUp + ", warm " + warm);
+    assertTrue(warmingUp > 0, "an endpoint needs requests to warm up");
+    assertTrue(
+        warmingUp < 0.6 * warm, "attempts while warming up: " + warmingUp + ", warm: " + warm);
   }
 }
--- a/src/test/java/merlinrouter/gateway/FairQueueingTest.java
+++ b/src/test/java/merlinrouter/gateway/FairQueueingTest.java
@@ -10,7 +10,7 @@
 import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Queued requests are released by the shares of their classes. */
+/** Queued requests are released in proportion to the shares of their classes. */
 class FairQueueingTest {
   @Test
   void classesAreServedInProportionToTheirShares() {
@@ -33,6 +33,6 @@
       String released = host.attempts.get(next + 6).requestId();
       releasedNonIdempotent += nonIdempotent.contains(released) ? 1 : 0;
     }
-    assertEquals(18, releasedNonIdempotent, 2, "by share within one round");
+    assertEquals(18, releasedNonIdempotent, 2, "three quarters of 24 releases, within one round");
   }
 }
--- a/src/test/java/merlinrouter/gateway/FinalResponseTest.java
+++ b/src/test/java/merlinrouter/gateway/FinalResponseTest.java
@@ -41,34 +41,37 @@
 
   @Test
   void unknownClassesAndPlansAreRejectedAndEventsOfUnknownRequestsIgnored() {
-    SimulatedHost alone = SimulatedHost.withoutCounter(UNLIMITED, 1);
-    alone.request(9, 1);
-    alone.request(IDEMPOTENT, 5, 1, 1, alone.nowNanos + 3 * PER_SECOND);
-    assertEquals(2, alone.rejected.size());
-    alone.gateway.attemptEnded(
-        alone.nowNanos, new AttemptResult("unknown", Outcome.OK, 1, "x", true, 0, 0, List.of()));
-    alone.gateway.clientDisconnected(alone.nowNanos, "unknown");
-    alone.gateway.counterCallEnded(alone.nowNanos, 5, Outcome.OK, 3);
-    alone.gateway.healthCheckEnded(
-        alone.nowNanos, "unknown", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
-    alone.withEndpoints(1);
-    alone.request(IDEMPOTENT, 0);
-    assertEquals(1, alone.attempts.size());
+    SimulatedHost hostWithoutCounter = SimulatedHost.withoutCounter(UNLIMITED, 1);
+    hostWithoutCounter.request(9, 1);
+    hostWithoutCounter.request(IDEMPOTENT, 5, 1, 1, hostWithoutCounter.nowNanos + 3 * PER_SECOND);
+    assertEquals(2, hostWithoutCounter.rejected.size());
+    hostWithoutCounter.gateway.attemptEnded(
+        hostWithoutCounter.nowNanos,
+        new AttemptResult("unknown", Outcome.OK, 1, "x", true, 0, 0, List.of()));
+    hostWithoutCounter.gateway.clientDisconnected(hostWithoutCounter.nowNanos, "unknown");
+    hostWithoutCounter.gateway.counterCallEnded(hostWithoutCounter.nowNanos, 5, Outcome.OK, 3);
+    hostWithoutCounter.gateway.healthCheckEnded(
+        hostWithoutCounter.nowNanos, "unknown", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
+    hostWithoutCounter.withEndpoints(1);
+    hostWithoutCounter.request(IDEMPOTENT, 0);
+    assertEquals(1, hostWithoutCounter.attempts.size());
   }
 
-  /** The host has forgotten the first one; the gateway still waits for the counter. */
+  /** The host no longer tracks the first request; the gateway still waits for the counter. */
   @Test
   void aRequestWithTheIdOfOneWhoseClientLeftDuringItsCounterCallIsRejectedAtOnce() {
-    SimulatedHost counting = new SimulatedHost(TestSettings.quota(20, 15), 3, 0).withEndpoints(1);
-    String id = counting.request(IDEMPOTENT, 1);
-    SimulatedHost.CounterCall call = counting.takeCounterCalls().get(0);
-    counting.gateway.clientDisconnected(counting.nowNanos, id);
-    long deadlineNanos = counting.nowNanos + 3 * PER_SECOND;
-    counting.gateway.requestReceived(
-        counting.nowNanos, new ClientRequest(id, IDEMPOTENT, 0, 1, deadlineNanos, 1, 3, 0, false));
-    assertEquals(List.of(id), counting.rejected);
-    counting.answerCounterCall(call, 1);
-    assertEquals(List.of(id), counting.rejected);
-    assertEquals(List.of(), counting.attempts);
+    SimulatedHost hostWithCounter =
+        new SimulatedHost(TestSettings.quota(20, 15), 3, 0).withEndpoints(1);
+    String id = hostWithCounter.request(IDEMPOTENT, 1);
+    SimulatedHost.CounterCall call = hostWithCounter.takeCounterCalls().get(0);
+    hostWithCounter.gateway.clientDisconnected(hostWithCounter.nowNanos, id);
+    long deadlineNanos = hostWithCounter.nowNanos + 3 * PER_SECOND;
+    hostWithCounter.gateway.requestReceived(
+        hostWithCounter.nowNanos,
+        new ClientRequest(id, IDEMPOTENT, 0, 1, deadlineNanos, 1, 3, 0, false));
+    assertEquals(List.of(id), hostWithCounter.rejected);
+    hostWithCounter.answerCounterCall(call, 1);
+    assertEquals(List.of(id), hostWithCounter.rejected);
+    assertEquals(List.of(), hostWithCounter.attempts);
   }
 }
--- a/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
+++ b/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
@@ -22,35 +22,35 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Slow start holds for the fleet: an endpoint that is warming up bears the sum of what all gateways
- * send, and each gateway knows its own part only. All randomness comes from seeds.
+ * Slow start in a fleet: an endpoint that is warming up receives the requests of all gateways, and
+ * each gateway has information only on its own. All randomness is seeded.
  */
 class FleetSlowStartTest {
   private static final ServiceRules RULES = TestSettings.gateway(UNLIMITED, 1).rules();
   private static final long SERVICE_TIME_NANOS = 100 * PER_MILLI;
   private static final long STEP_NANOS = 10 * PER_MILLI;
 
-  /** Requests of the mean service time that a warm endpoint serves at once. */
+  /** Number of requests that a warm endpoint serves concurrently. */
   private static final int WARM_ENDPOINT_CAPACITY = 2;
 
   /** The endpoint whose requests are counted. */
   private static final String OBSERVED_ENDPOINT = "cold0";
 
-  /** An attempt and when its endpoint answers. */
+  /** An attempt and the time of its response. */
   private record AttemptInFlight(SimulatedHost.Attempt attempt, long endsAtNanos) {}
 
-  /** Gateways on one clock, whose endpoints answer each request after the same service time. */
+  /** Gateways with a common clock; all requests have the same service time. */
   private static final class Fleet {
     private final List<SimulatedHost> hosts = new ArrayList<>();
     private final List<Deque<AttemptInFlight>> inFlightByHost = new ArrayList<>();
-    private final int[] attemptsSeenByHost;
+    private final int[] processedAttemptsByHost;
     private final List<Long> observedStartsNanos = new ArrayList<>();
     private final SplittableRandom random = new SplittableRandom(11);
     private long servedRequests;
     private long sentRequests;
 
     Fleet(int gatewayCount) {
-      attemptsSeenByHost = new int[gatewayCount];
+      processedAttemptsByHost = new int[gatewayCount];
       for (int i = 0; i < gatewayCount; i++) {
         hosts.add(new SimulatedHost(UNLIMITED, gatewayCount, i, false, 100 + i, false));
         inFlightByHost.add(new ArrayDeque<>());
@@ -75,7 +75,7 @@
       }
     }
 
-    /** Sends requests at random to the gateways, at a rate over all of them, for some time. */
+    /** Sends requests to randomly chosen gateways, at a total rate, for a duration. */
     void sendRequests(double requestsPerSecond, long durationNanos) {
       for (long untilNanos = nowNanos() + durationNanos; nowNanos() < untilNanos; ) {
         double expected = requestsPerSecond * STEP_NANOS / PER_SECOND;
@@ -87,7 +87,7 @@
       }
     }
 
-    /** Sends one request to each gateway at the same moment. */
+    /** Sends one request to each gateway at the same time. */
     void sendBurst() {
       for (SimulatedHost host : hosts) {
         host.request(IDEMPOTENT, 1);
@@ -101,8 +101,8 @@
         SimulatedHost host = hosts.get(i);
         host.advance(STEP_NANOS);
         endDueAttempts(host, inFlightByHost.get(i));
-        for (; attemptsSeenByHost[i] < host.attempts.size(); attemptsSeenByHost[i]++) {
-          SimulatedHost.Attempt attempt = host.attempts.get(attemptsSeenByHost[i]);
+        for (; processedAttemptsByHost[i] < host.attempts.size(); processedAttemptsByHost[i]++) {
+          SimulatedHost.Attempt attempt = host.attempts.get(processedAttemptsByHost[i]);
           inFlightByHost
               .get(i)
               .add(new AttemptInFlight(attempt, host.nowNanos + SERVICE_TIME_NANOS));
@@ -131,10 +131,13 @@
       }
     }
 
-    /** Checks that no overload window holds more than the endpoint bears, but for chance. */
+    /**
+     * Checks that no overload window has more requests than the endpoint's budget, plus an
+     * allowance for random variation.
+     */
     void assertNotOverloaded(long startedAtNanos) {
       Collections.sort(observedStartsNanos);
-      assertFalse(observedStartsNanos.isEmpty(), "without requests it would stay cold");
+      assertFalse(observedStartsNanos.isEmpty(), "an endpoint needs requests to warm up");
       int first = 0;
       for (int last = 0; last < observedStartsNanos.size(); last++) {
         while (observedStartsNanos.get(last) - observedStartsNanos.get(first)
@@ -146,11 +149,16 @@
         int requests = last - first + 1;
         assertTrue(
             requests <= budget + 2 * Math.sqrt(budget) + 2,
-            requests + " requests of " + budget + ", " + ageNanos / PER_MILLI + " ms after start");
+            requests
+                + " requests in a window, budget "
+                + budget
+                + ", "
+                + ageNanos / PER_MILLI
+                + " ms after the endpoint's start");
       }
     }
 
-    /** What an endpoint bears in the overload window that begins at an age. */
+    /** Returns the request budget of an endpoint for the overload window that starts at an age. */
     private static double maxRequestsInWindow(long ageNanos) {
       double relativeAge = Math.max(0, ageNanos) / (double) RULES.slowStartDurationNanos();
       double initial = RULES.slowStartInitialFraction();
@@ -171,9 +179,9 @@
     fleet.assertNotOverloaded(startNanos);
   }
 
-  /** If gateways saved up what they do not send, all of it could come at the same moment. */
+  /** If gateways saved up unused capacity, all of them could use it at the same time. */
   @Test
-  void aBurstAfterAQuietTimeDoesNotOverloadAColdEndpoint() {
+  void aBurstAfterLowLoadDoesNotOverloadAColdEndpoint() {
     Fleet fleet = new Fleet(120);
     fleet.addEndpoints("warm", 3, 0);
     fleet.sendRequests(50, 5 * PER_SECOND);
@@ -187,9 +195,9 @@
     fleet.assertNotOverloaded(startNanos);
   }
 
-  /** No endpoint is warm, so there is none whose load could set the part of the cold ones. */
+  /** No endpoint is warm, so no warm endpoint's load can limit the load of the cold ones. */
   @Test
-  void endpointsThatRestartAllTogetherAreNotOverloaded() {
+  void endpointsThatAllRestartAtTheSameTimeAreNotOverloaded() {
     Fleet fleet = new Fleet(120);
     fleet.addEndpoints("warm", 4, 0);
     fleet.sendRequests(70, 5 * PER_SECOND);
@@ -200,9 +208,9 @@
     fleet.assertNotOverloaded(startNanos);
   }
 
-  /** A gateway that has sent nothing yet still has to give a cold endpoint its first request. */
+  /** A gateway that has forwarded nothing yet must still send requests to a cold endpoint. */
   @Test
-  void gatewaysThatStartTogetherWithAllEndpointsServeRequests() {
+  void gatewaysThatStartAtTheSameTimeAsAllEndpointsServeRequests() {
     Fleet fleet = new Fleet(30);
     long startNanos = fleet.nowNanos();
     fleet.addEndpoints("cold", 6, startNanos);
@@ -210,6 +218,6 @@
     fleet.assertNotOverloaded(startNanos);
     assertTrue(
         fleet.servedRequests > fleet.sentRequests / 8,
-        "served " + fleet.servedRequests + " of " + fleet.sentRequests);
+        "requests served: " + fleet.servedRequests + ", sent: " + fleet.sentRequests);
   }
 }
--- a/src/test/java/merlinrouter/gateway/HardLimitTest.java
+++ b/src/test/java/merlinrouter/gateway/HardLimitTest.java
@@ -9,22 +9,22 @@
 import merlinrouter.settings.QuotaPlan;
 import org.junit.jupiter.api.Test;
 
-/** A customer's hard limit holds for all gateways together, whatever happens. */
+/** A customer's hard limit holds for the fleet, even without the counter and after restarts. */
 class HardLimitTest {
   private static final QuotaPlan PLAN = new QuotaPlan(5, 20, 0, 1, 0, 1, 8, 32, 4);
   private static final double REQUEST_UNITS = 2;
 
   @Test
-  void theHardLimitHoldsForTheFleetWithoutTheCounterAndOverRestarts() {
+  void theHardLimitHoldsForTheFleetWithoutTheCounterAndAcrossRestarts() {
     double forwardedUnits = 0;
     for (int gatewayNumber = 0; gatewayNumber < 3; gatewayNumber++) {
       SimulatedHost first = new SimulatedHost(PLAN, 3, gatewayNumber).withEndpoints(6);
       forwardedUnits += forwardedUnits(first, 300);
-      // The gateway restarts a moment later and knows nothing of what it has forwarded.
+      // The gateway restarts immediately and has no record of what it has forwarded.
       SimulatedHost restarted = new SimulatedHost(PLAN, 3, gatewayNumber).withEndpoints(6);
       forwardedUnits += forwardedUnits(restarted, 100);
     }
-    assertTrue(forwardedUnits > 0, "something is admitted");
+    assertTrue(forwardedUnits > 0, "some requests are forwarded");
     assertTrue(forwardedUnits <= 32 + 8 * 4 + 4, "forwarded units: " + forwardedUnits);
   }
 
--- a/src/test/java/merlinrouter/gateway/LoadBalancingTest.java
+++ b/src/test/java/merlinrouter/gateway/LoadBalancingTest.java
@@ -13,21 +13,21 @@
 import merlinrouter.model.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints a gateway chooses and checks. */
+/** The endpoints that a gateway chooses for attempts and health checks. */
 class LoadBalancingTest {
   @Test
-  void gatewaysWithoutMeasurementsSpreadOverTheEndpoints() {
+  void gatewaysWithoutMeasurementsSpreadRequestsOverTheEndpoints() {
     Set<String> chosen = new HashSet<>();
     for (int seed = 0; seed < 40; seed++) {
       SimulatedHost host = new SimulatedHost(UNLIMITED, 40, 0, true, seed, false).withEndpoints(20);
       host.request(IDEMPOTENT, 1);
       chosen.add(host.attempts.get(0).endpointId());
     }
-    assertTrue(chosen.size() >= 12, "first requests of 40 gateways went to " + chosen);
+    assertTrue(chosen.size() >= 12, "endpoints of the first requests of 40 gateways: " + chosen);
   }
 
   @Test
-  void anEndpointWithAnEmptyLoadReportIsNotTakenForIdle() {
+  void anEndpointWithAnEmptyLoadReportIsNotAssumedIdle() {
     SimulatedHost host = new SimulatedHost(UNLIMITED, 40, 0, true, 7, true).withEndpoints(2);
     List<Double> busy = List.of(4.0);
     for (List<Double> report : List.of(busy, List.<Double>of())) {
@@ -40,6 +40,8 @@
         host.endAttempt(id, Outcome.OK);
       }
     }
-    assertTrue(host.healthChecked.size() >= 20, "where responses are rare, each request checks");
+    assertTrue(
+        host.healthChecked.size() >= 20,
+        "while responses are rare, each request starts a health check");
   }
 }
--- a/src/test/java/merlinrouter/gateway/QuotaAdmissionTest.java
+++ b/src/test/java/merlinrouter/gateway/QuotaAdmissionTest.java
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Asks each of three gateways for 20 units a second; returns the units that were forwarded. */
+  /** Requests 20 units per second from each of three gateways; returns the units forwarded. */
   private static double forwardedUnits(boolean counterAnswers, int seconds) {
     List<SimulatedHost> hosts = new ArrayList<>();
     for (int gatewayNumber = 0; gatewayNumber < 3; gatewayNumber++) {
@@ -62,18 +62,18 @@
 
   @Test
   void aCustomerOfSeveralGatewaysStaysWithinTheQuota() {
-    // 60 units a second are requested for 20 s. The quota holds 30, and 10 for each second.
-    double used = forwardedUnits(true, 20);
-    assertTrue(used <= 1.2 * (30 + 10 * 20), "used " + used);
-    assertTrue(used >= 0.8 * (30 + 10 * 20), "used " + used);
+    // 60 units per second are requested for 20 s. The quota is a burst of 30, and 10 per second.
+    double usedUnits = forwardedUnits(true, 20);
+    assertTrue(usedUnits <= 1.2 * (30 + 10 * 20), "units used: " + usedUnits);
+    assertTrue(usedUnits >= 0.8 * (30 + 10 * 20), "units used: " + usedUnits);
   }
 
   @Test
   void whileTheCounterIsSilentTheQuotaIsDividedAmongTheGateways() {
-    double used = forwardedUnits(false, 20);
-    // Each gateway may admit the whole burst before it notices that the counter is silent.
-    assertTrue(used <= 3 * 30 + 10 * 20, "used " + used);
-    assertTrue(used >= 0.7 * (30 + 10 * 20), "used " + used);
+    double usedUnits = forwardedUnits(false, 20);
+    // Each gateway may admit the whole burst before it detects that the counter is silent.
+    assertTrue(usedUnits <= 3 * 30 + 10 * 20, "units used: " + usedUnits);
+    assertTrue(usedUnits >= 0.7 * (30 + 10 * 20), "units used: " + usedUnits);
   }
 
   @Test
@@ -89,28 +89,28 @@
         host.attemptsOf(last).forEach(attempt -> host.endAttempt(attempt.requestId(), Outcome.OK));
       }
       for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
-        // For four seconds the others use far more than the quota, then nothing.
-        double others = tick < 400 ? 600 : 0;
+        // The other gateways use far more than the quota for four seconds, then nothing.
+        double othersUnits = tick < 400 ? 600 : 0;
         host.answerCounterCall(
-            call, totalsByKey.merge(call.counterKey(), call.units() + others, Double::sum));
+            call, totalsByKey.merge(call.counterKey(), call.units() + othersUnits, Double::sum));
       }
       rejectedInPeak = tick == 300 ? host.rejected.size() : rejectedInPeak;
     }
-    assertTrue(rejectedInPeak > 0, "the peak is noticed");
+    assertTrue(rejectedInPeak > 0, "requests are rejected during the peak");
     assertEquals(1, host.attemptsOf(last).size(), "admitted when the quota has refilled");
   }
 
   @Test
-  void anUnknownCustomerIsDecidedOnByTheCountersTotal() {
-    for (double others : new double[] {0, 100}) {
+  void admissionOfAnUnknownCustomerDependsOnTheCounterTotal() {
+    for (double othersUnits : new double[] {0, 100}) {
       SimulatedHost host = new SimulatedHost(PLAN, 300, 0).withEndpoints(20);
       host.advance(PER_SECOND);
       String id = host.request(IDEMPOTENT, 0, 7, 2, host.nowNanos + 3 * PER_SECOND);
       assertEquals(0, host.attempts.size(), "deferred until the total is known");
       SimulatedHost.CounterCall call = host.counterCalls.get(0);
-      host.answerCounterCall(call, call.units() + others);
-      assertEquals(others > 0 ? 0 : 1, host.attemptsOf(id).size());
-      assertEquals(others > 0 ? 1 : 0, host.rejected.size());
+      host.answerCounterCall(call, call.units() + othersUnits);
+      assertEquals(othersUnits > 0 ? 0 : 1, host.attemptsOf(id).size());
+      assertEquals(othersUnits > 0 ? 1 : 0, host.rejected.size());
     }
   }
 
@@ -123,7 +123,7 @@
     assertEquals(1, host.attemptsOf(id).size());
   }
 
-  /** Rejected units are no use; counted as unreported use they would magnify the others' use. */
+  /** If rejected units counted as unreported use, the others' use would be overestimated. */
   @Test
   void rejectedRequestsOfOneCustomerDoNotRaiseTheEstimatedUseOfAnother() {
     SimulatedHost host = new SimulatedHost(PLAN, 3, 0).withEndpoints(20);
@@ -132,19 +132,19 @@
       answerWithOthersUse(host, 0);
       host.advance(10 * PER_MILLI);
     }
-    assertTrue(host.rejected.size() > 200, "far beyond its quota");
+    assertTrue(host.rejected.size() > 200, "customer 1 is far beyond its quota");
     int before = host.rejected.size();
     for (int i = 0; i < 10; i++) {
       host.request(IDEMPOTENT, 0, 2, 1, host.nowNanos + 900 * PER_MILLI);
       // The other gateways have used 9 units of 30.
       answerWithOthersUse(host, 9);
     }
-    assertEquals(before, host.rejected.size(), "half of its quota is left");
+    assertEquals(before, host.rejected.size(), "customer 2 is within its quota");
   }
 
-  private static void answerWithOthersUse(SimulatedHost host, double others) {
+  private static void answerWithOthersUse(SimulatedHost host, double othersUnits) {
     for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
-      host.answerCounterCall(call, call.units() + others);
+      host.answerCounterCall(call, call.units() + othersUnits);
     }
   }
 }
--- a/src/test/java/merlinrouter/gateway/RequestStateTest.java
+++ b/src/test/java/merlinrouter/gateway/RequestStateTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void statesTellWhatIsUnderWay() {
+  void onlyAbandonedStatesAreReportedAsAbandoned() {
     for (RequestState state : RequestState.values()) {
       boolean abandoned = Set.of(ABANDONED_AWAITING_COUNTER, ABANDONED_IN_FLIGHT).contains(state);
       assertEquals(abandoned, state.isAbandoned(), state.toString());
--- a/src/test/java/merlinrouter/gateway/RetentionTest.java
+++ b/src/test/java/merlinrouter/gateway/RetentionTest.java
@@ -13,7 +13,7 @@
 import merlinrouter.settings.QuotaPlan;
 import org.junit.jupiter.api.Test;
 
-/** Customers and endpoints always change, so what is not needed any more must be dropped. */
+/** Customers and endpoints change continually, so state no longer needed must be dropped. */
 class RetentionTest {
   @Test
   void aCustomerIsDroppedWhenItsQuotaHasRefilledAndNotBefore() {
@@ -28,7 +28,7 @@
     host.advance(2 * PER_SECOND);
     assertEquals(304, host.gateway.trackedCustomerAndEndpointCount());
     String early = requestUnits(host, 1001, 4);
-    assertTrue(host.rejected.contains(early), "a quota that is used up must not be forgotten");
+    assertTrue(host.rejected.contains(early), "the state of a used-up quota must be kept");
     host.advance(50 * PER_SECOND);
     assertEquals(
         3,
@@ -41,7 +41,7 @@
     assertEquals(1, host.attemptsOf(later).size());
   }
 
-  /** Else memory grows with every customer that ever came. */
+  /** Otherwise memory use grows with the number of customers ever seen. */
   @Test
   void aCustomerWithoutHardLimitOrQuotaIsDroppedToo() {
     QuotaPlan withoutHardLimit = new QuotaPlan(1, 4, 0, 1, 0, 1, 0, 0, 0);
@@ -70,7 +70,9 @@
       host.updateEndpoint("n" + i, 0, EndpointState.REMOVED, 0);
     }
     assertEquals(
-        102, host.gateway.trackedCustomerAndEndpointCount(), "for a while they might come back");
+        102,
+        host.gateway.trackedCustomerAndEndpointCount(),
+        "removed endpoints are kept for a while, since they may return");
     host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
     host.advance(31 * PER_SECOND);
     host.updateEndpoint("b", 0, EndpointState.READY, 0);
--- a/src/test/java/merlinrouter/gateway/RetryTest.java
+++ b/src/test/java/merlinrouter/gateway/RetryTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A request is retried only where a second execution does no harm. */
+/** A request is retried only if a second execution is harmless. */
 class RetryTest {
   private final SimulatedHost host = new SimulatedHost(UNLIMITED, 3, 0);
 
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aRequestWhoseKeyHoldsAtEveryEndpointMayBeRejectedAfterItsWindow() {
+  void aRequestDeduplicatedByAllEndpointsMayBeRejectedAfterItsWindow() {
     host.withEndpoints(4);
     String id = host.request(KEY_EVERYWHERE, 1);
     host.nowNanos += 700 * PER_MILLI;
@@ -71,13 +71,13 @@
   }
 
   @Test
-  void retriesOfAttemptsThatWereNotExecutedTakeNothingFromTheBudget() {
-    SimulatedHost alone = new SimulatedHost(UNLIMITED, 1, 0).withEndpoints(6);
+  void retriesOfAttemptsThatWereNotExecutedDoNotUseTheRetryBudget() {
+    SimulatedHost singleGatewayHost = new SimulatedHost(UNLIMITED, 1, 0).withEndpoints(6);
     for (int i = 0; i < 60; i++) {
-      String id = alone.request(IDEMPOTENT, 1);
-      alone.endAttempt(id, Outcome.REJECTED, false);
-      assertEquals(2, alone.attemptsOf(id).size(), "request " + i);
-      alone.endAttempt(id, Outcome.OK);
+      String id = singleGatewayHost.request(IDEMPOTENT, 1);
+      singleGatewayHost.endAttempt(id, Outcome.REJECTED, false);
+      assertEquals(2, singleGatewayHost.attemptsOf(id).size(), "request " + i);
+      singleGatewayHost.endAttempt(id, Outcome.OK);
     }
   }
 }
--- a/src/test/java/merlinrouter/gateway/SimulatedHost.java
+++ b/src/test/java/merlinrouter/gateway/SimulatedHost.java
@@ -16,11 +16,11 @@
 import merlinrouter.settings.TestSettings;
 
 /**
- * Stands for the host of one gateway: records the actions that the gateway requests, and delivers
- * the events that a test wants. Time passes only where the test says so.
+ * Simulates the host of one gateway: records the actions that the gateway requests, and delivers
+ * the events that a test chooses. Time advances only when the test advances it.
  */
 final class SimulatedHost implements GatewayActions {
-  /** How long each attempt is reported to have taken. */
+  /** Reported duration of each attempt. */
   private static final long ATTEMPT_DURATION_NANOS = 20 * PER_MILLI;
 
   private static final long TIMER_INTERVAL_NANOS = 10 * PER_MILLI;
@@ -52,7 +52,7 @@
     this(plan, gatewayCount, gatewayNumber, true, DEFAULT_SEED, false);
   }
 
-  /** Starts a gateway; all requests come from customers who use all gateways. */
+  /** Starts a gateway; the requests of each customer are spread over all gateways. */
   SimulatedHost(
       QuotaPlan plan,
       int gatewayCount,
@@ -75,7 +75,7 @@
     return new SimulatedHost(plan, gatewayCount, 0, false, DEFAULT_SEED, false);
   }
 
-  /** Adds warm endpoints named a, b, c ..., in two cells by turns. */
+  /** Adds warm endpoints named a, b, c ..., alternately in two cells. */
   SimulatedHost withEndpoints(int count) {
     for (int i = 0; i < count; i++) {
       updateEndpoint(String.valueOf((char) ('a' + i)), i % 2, EndpointState.READY, 0);
@@ -128,19 +128,19 @@
             List.of()));
   }
 
-  /** The attempts of a request, in their order. */
+  /** Returns the attempts of a request, in the order in which they were started. */
   List<Attempt> attemptsOf(String requestId) {
     return attempts.stream().filter(attempt -> attempt.requestId().equals(requestId)).toList();
   }
 
-  /** Returns the calls to the counter that have not been taken yet. */
+  /** Returns and clears the calls to the counter made since the last call of this method. */
   List<CounterCall> takeCounterCalls() {
     List<CounterCall> taken = List.copyOf(counterCalls);
     counterCalls.clear();
     return taken;
   }
 
-  /** Answers a call to the counter. */
+  /** Ends a call to the counter successfully, with a total. */
   void answerCounterCall(CounterCall call, double totalUnits) {
     endCounterCall(call, Outcome.OK, totalUnits);
   }
@@ -150,7 +150,7 @@
     gateway.counterCallEnded(nowNanos, call.counterKey(), outcome, totalUnits);
   }
 
-  /** Lets time pass, and fires the timer as often as the gateway schedules it. */
+  /** Advances the time and fires the timer at the interval that the gateway uses. */
   void advance(long nanos) {
     long untilNanos = nowNanos + nanos;
     while (nowNanos < untilNanos) {
@@ -176,7 +176,7 @@
 
   @Override
   public void startHealthCheck(String endpointId) {
-    assertTrue(healthChecks, "the settings allow no health checks");
+    assertTrue(healthChecks, "the settings do not allow health checks");
     healthChecked.add(endpointId);
   }
 
--- a/src/test/java/merlinrouter/queue/FairQueueTest.java
+++ b/src/test/java/merlinrouter/queue/FairQueueTest.java
@@ -9,7 +9,7 @@
 import merlinrouter.stats.ClassStatistics;
 import org.junit.jupiter.api.Test;
 
-/** The order in which classes are released. */
+/** The order in which the requests of several classes are released. */
 class FairQueueTest {
   private final FairQueue<TestRequest> fairQueue =
       new FairQueue<>(
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aClassThatWasIdleHasSavedNothing() {
+  void anIdleClassAccumulatesNoCredit() {
     fairQueue.setShares(new double[] {0.5, 0.5});
     enqueue(second, 30, 0);
     release(10);
--- a/src/test/java/merlinrouter/queue/LoadShedderTest.java
+++ b/src/test/java/merlinrouter/queue/LoadShedderTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A level of 1 and a mean service time of 1/8 s release 8 requests a second; an objective of 1 s
- * less two service times leaves a wait of 0.75 s, which is that of 6 requests.
+ * Load shedding from one queue. At a concurrency level of 1 and a mean service time of 1/8 s, 8
+ * requests per second are released. An objective of 1 s less two service times leaves a maximum
+ * wait of 0.75 s, which is the wait for 6 requests.
  */
 class LoadShedderTest {
   private final List<ClassStatistics> classes =
@@ -35,7 +36,7 @@
   }
 
   @Test
-  void theLeastValuableAndLatestRequestIsShed() {
+  void theLatestOfTheLeastValuableRequestsIsShed() {
     limiter.acquire();
     assertEquals("r4", shedder.pollExcess(queue).id());
     assertNull(shedder.pollExcess(queue), "six requests are served in time");
