--- a/src/main/java/merlinrouter/gateway/GatewayEvents.java
+++ b/src/main/java/merlinrouter/gateway/GatewayEvents.java
@@ -17,9 +17,9 @@
   void endpointsUpdated(long nowNanos, EndpointUpdateType type, List<Endpoint> endpoints);
 
   /**
-   * Reports a request; exactly one final response is due unless the client disconnects. A host must
-   * not deliver a request that has the id of an open one: it is ignored. If the client of the open
-   * request disconnected before an attempt, the new request is rejected instead.
+   * Reports a new request; exactly one final response is due unless the client disconnects. Hosts
+   * must not deliver a request with the id of an open one; the gateway ignores it, or rejects it if
+   * the client of the open request has disconnected before an attempt.
    */
   void requestReceived(long nowNanos, ClientRequest request);
 
--- a/src/main/java/merlinrouter/queue/LoadShedder.java
+++ b/src/main/java/merlinrouter/queue/LoadShedder.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Returns the throughput of a class: its share, among the classes that have queued requests, of
-   * the gateway's throughput.
+   * Returns the expected releases per second of a class: its share, among the classes that have
+   * queued requests, of the gateway's throughput.
    */
   private double releasesPerSecond(ClassQueue<R> queue) {
     double backloggedShares = 0;
--- a/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
+++ b/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
@@ -132,7 +132,7 @@
     double reportedUnits = 0;
     int ended = 0;
     for (int tick = 0; tick < 2000; tick++) {
-      // Ten customers send requests repeatedly; each other one is unknown and needs a total.
+      // Five customers send requests repeatedly; the others are unknown and need a total.
       long customer = tick % 4 == 0 ? tick % 10 : 100 + tick;
       host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 900 * PER_MILLI);
       // As late as the answers of a counter at its optimal load.
--- a/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
+++ b/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Checks that no overload window has more requests than the endpoint's budget, plus an
-     * allowance for random variation.
+     * Checks that no overload window has more requests than the endpoint can serve without
+     * overload, plus an allowance for random variation.
      */
     void assertNotOverloaded(long startedAtNanos) {
       Collections.sort(observedStartsNanos);
@@ -145,20 +145,20 @@
           first++;
         }
         long ageNanos = observedStartsNanos.get(first) - startedAtNanos;
-        double budget = maxRequestsInWindow(ageNanos);
+        double maxRequests = maxRequestsInWindow(ageNanos);
         int requests = last - first + 1;
         assertTrue(
-            requests <= budget + 2 * Math.sqrt(budget) + 2,
+            requests <= maxRequests + 2 * Math.sqrt(maxRequests) + 2,
             requests
-                + " requests in a window, budget "
-                + budget
+                + " requests in a window, max without overload "
+                + maxRequests
                 + ", "
                 + ageNanos / PER_MILLI
                 + " ms after the endpoint's start");
       }
     }
 
-    /** Returns the request budget of an endpoint for the overload window that starts at an age. */
+    /** Returns the most requests without overload in the window that starts at an age. */
     private static double maxRequestsInWindow(long ageNanos) {
       double relativeAge = Math.max(0, ageNanos) / (double) RULES.slowStartDurationNanos();
       double initial = RULES.slowStartInitialFraction();
