--- a/src/test/java/merlinrouter/gateway/RequestStateTest.java
+++ b/src/test/java/merlinrouter/gateway/RequestStateTest.java
@@ -32,12 +32,12 @@
   void onlyTheTransitionsOfTheTableAreAllowed(RequestState state) {
     for (RequestState next : RequestState.values()) {
       boolean allowed = SUCCESSORS.get(state).contains(next);
-      assertEquals(allowed, state.mayBecome(next), state + " to " + next);
+      assertEquals(allowed, state.mayTransitionTo(next), state + " to " + next);
     }
   }
 
   @Test
-  void statesTellWhatIsUnderWay() {
+  void onlyAbandonedStatesAreReportedAsAbandoned() {
     for (RequestState state : RequestState.values()) {
       boolean abandoned = Set.of(ABANDONED_AWAITING_COUNTER, ABANDONED_IN_FLIGHT).contains(state);
       assertEquals(abandoned, state.isAbandoned(), state.toString());
--- a/src/test/java/merlinrouter/gateway/RetentionTest.java
+++ b/src/test/java/merlinrouter/gateway/RetentionTest.java
@@ -13,7 +13,7 @@
 import merlinrouter.settings.QuotaPlan;
 import org.junit.jupiter.api.Test;
 
-/** Customers and endpoints always change, so what is not needed any more must be dropped. */
+/** Customers and endpoints change continually, so state no longer needed must be dropped. */
 class RetentionTest {
   @Test
   void aCustomerIsDroppedWhenItsQuotaHasRefilledAndNotBefore() {
@@ -26,22 +26,22 @@
     String open = host.request(NON_IDEMPOTENT, 0, 1000, 1, host.nowNanos + 90 * PER_SECOND);
     host.endAttempt(requestUnits(host, 1001, 4), Outcome.OK);
     host.advance(2 * PER_SECOND);
-    assertEquals(304, host.gateway.trackedCustomersAndEndpoints());
+    assertEquals(304, host.gateway.trackedCustomerAndEndpointCount());
     String early = requestUnits(host, 1001, 4);
-    assertTrue(host.rejected.contains(early), "a quota that is used up must not be forgotten");
+    assertTrue(host.rejected.contains(early), "the state of a used-up quota must be kept");
     host.advance(50 * PER_SECOND);
     assertEquals(
         3,
-        host.gateway.trackedCustomersAndEndpoints(),
+        host.gateway.trackedCustomerAndEndpointCount(),
         "two endpoints and the customer whose request is open");
     host.endAttempt(open, Outcome.OK);
     host.advance(50 * PER_SECOND);
-    assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+    assertEquals(2, host.gateway.trackedCustomerAndEndpointCount());
     String later = requestUnits(host, 1001, 4);
     assertEquals(1, host.attemptsOf(later).size());
   }
 
-  /** Else memory grows with every customer that ever came. */
+  /** Otherwise memory use grows with the number of customers ever seen. */
   @Test
   void aCustomerWithoutHardLimitOrQuotaIsDroppedToo() {
     QuotaPlan withoutHardLimit = new QuotaPlan(1, 4, 0, 1, 0, 1, 0, 0, 0);
@@ -50,9 +50,9 @@
       for (long customer = 0; customer < 300; customer++) {
         host.endAttempt(requestUnits(host, customer, 1), Outcome.OK);
       }
-      assertEquals(302, host.gateway.trackedCustomersAndEndpoints());
+      assertEquals(302, host.gateway.trackedCustomerAndEndpointCount());
       host.advance(50 * PER_SECOND);
-      assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+      assertEquals(2, host.gateway.trackedCustomerAndEndpointCount());
     }
   }
 
@@ -70,15 +70,19 @@
       host.updateEndpoint("n" + i, 0, EndpointState.REMOVED, 0);
     }
     assertEquals(
-        102, host.gateway.trackedCustomersAndEndpoints(), "for a while they might come back");
+        102,
+        host.gateway.trackedCustomerAndEndpointCount(),
+        "removed endpoints are kept for a while, since they may return");
     host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
     host.advance(31 * PER_SECOND);
     host.updateEndpoint("b", 0, EndpointState.READY, 0);
     assertEquals(
-        3, host.gateway.trackedCustomersAndEndpoints(), "the customer, b, and a with its attempt");
+        3,
+        host.gateway.trackedCustomerAndEndpointCount(),
+        "the customer, b, and a with its attempt");
     host.endAttempt(id, Outcome.RESET);
     assertTrue(host.failed.contains(id));
     host.updateEndpoint("unknown", 0, EndpointState.REMOVED, 0);
-    assertEquals(2, host.gateway.trackedCustomersAndEndpoints());
+    assertEquals(2, host.gateway.trackedCustomerAndEndpointCount());
   }
 }
