--- a/src/test/java/merlinrouter/node/AttemptRaceTest.java
+++ b/src/test/java/merlinrouter/node/AttemptRaceTest.java
@@ -8,10 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An endpoint sends bytes, closes its connection or forgets a key as an attempt is to be sent. */
+/**
+ * Tests attempts that are about to be sent when the endpoint has sent stray bytes, may close the
+ * connection, or may have dropped the request's idempotency key.
+ */
 @Timeout(120)
 class AttemptRaceTest extends EventLoopFixture {
-  /** The stall is longer than the pause before a connection is used again, and hides the bytes. */
+  /**
+   * The event-loop stall is longer than the quiet period before a connection is reused, and a
+   * second response arrives unread during it.
+   */
   @Test
   void secondResponseDuringEventLoopStallIsNotTakenForTheNextOne() throws Exception {
     CompletableFuture<ScriptedServer.Message> responded = new CompletableFuture<>();
@@ -35,7 +41,10 @@
     assertEquals("t-2", response.get());
   }
 
-  /** The sweep runs once a second; the endpoint may close the connection long before it. */
+  /**
+   * Idle connections are swept once a second; the endpoint may close this one long before the next
+   * sweep.
+   */
   @Test
   void connectionIdleForTooLongIsNotUsedBeforeTheSweep() throws Exception {
     ScriptedServer server = startEchoServer();
@@ -58,10 +67,13 @@
     assertEquals("t-2", response.get());
     assertFalse(
         server.awaitRequest().connection() == firstConnection,
-        "it was sent on the connection that the endpoint may close");
+        "request t-2 was sent on the connection that the endpoint may close");
   }
 
-  /** A retry reaches the endpoint only once its connect is established. */
+  /**
+   * A retry arrives at the endpoint only after its connect, which may take 40 s here, while the
+   * endpoint keeps the idempotency key for 30 s.
+   */
   @Test
   void retryIsNotSentIfItsConnectMayOutlastTheDeduplicationWindow() throws Exception {
     ScriptedServer server = startServer(request -> request.connection().close());
@@ -74,7 +86,9 @@
     Socket client = connect(node);
     writeKeyedRequest(client, "t-1");
     assertEquals(
-        "429", readStatus(client), "rejected at once, since all endpoints drop duplicates");
+        "429",
+        readStatus(client),
+        "rejected immediately: a retry by the client is harmless, all endpoints drop duplicates");
     assertEquals(1, server.received.size());
   }
 }
--- a/src/test/java/merlinrouter/node/ClientRaceTest.java
+++ b/src/test/java/merlinrouter/node/ClientRaceTest.java
@@ -13,12 +13,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client disconnects or pipelines requests while a request of it is in flight. Most tests end
- * with a request of another client, which must be the next that the endpoint receives.
+ * Tests clients that disconnect or pipeline requests while one of their requests is open. Most
+ * tests end with a request of another client, which must be the next one that the endpoint
+ * receives: otherwise, a request was forwarded after its client had disconnected.
  */
 @Timeout(120)
 class ClientRaceTest extends EventLoopFixture {
-  /** Longer than the interval at which timeouts of connections are checked. */
+  /** Longer than the interval at which the timeouts of connections are checked. */
   private static final long STALL_BEYOND_TIMEOUT_CHECK_MILLIS = 300;
 
   private static final long STALL_BEYOND_IDLE_TIMEOUT_MILLIS = 2_200;
@@ -27,22 +28,25 @@
   private static final String NOT_EXECUTED_RESPONSE =
       "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-  private static final int MAX_HELD_BYTES = 600_000;
+  private static final int MAX_USED_BYTES = 600_000;
 
-  /** A configuration in which a call to the counter may take 4 s. */
+  /** Returns a configuration in which a call to the counter may take 4 s. */
   private String slowCounterConfig(ScriptedServer server) throws IOException {
     return withSetting(
         configJson(readyEndpointJson("s-0", server.address())), "count-wait-ns", 4_000_000_000L);
   }
 
-  /** The headers of a request for which the counter is called. */
-  private static Map<String, String> countedRequestHeaders(String requestId) {
+  /**
+   * Returns the headers of a request of a customer whose quota two gateways share, so that the node
+   * calls the counter.
+   */
+  private static Map<String, String> sharedQuotaRequestHeaders(String requestId) {
     Map<String, String> headers = requestHeaders(requestId, "order", "20000");
     headers.put("X-Quota", "units=1,spread=2,first=0");
     return headers;
   }
 
-  private void letCounterRespondAfter(CompletableFuture<Void> proceed) {
+  private void delayCounterResponsesUntil(CompletableFuture<Void> proceed) {
     counterScript =
         request -> {
           proceed.join();
@@ -50,7 +54,10 @@
         };
   }
 
-  /** A connect may take longer than a request may be sent after its client has disconnected. */
+  /**
+   * A connect may take longer than the time after its client's disconnect in which a request may
+   * still be sent, so the client must be checked again once the connection is established.
+   */
   @Test
   void requestIsNotSentIfClientDisconnectsDuringConnect() throws Exception {
     FullBacklogServer server = new FullBacklogServer();
@@ -68,11 +75,12 @@
     awaitAllDisconnected(node);
     CompletableFuture<ScriptedServer.Message> firstRequest = server.acceptAll();
     awaitOnEventLoop(node, () -> node.pool().idle() == 1 || firstRequest.isDone());
-    assertFalse(firstRequest.isDone(), "it was sent although its client had disconnected");
+    assertFalse(firstRequest.isDone(), "request t-1 was sent although its client had disconnected");
     writeIdempotentRequest(connect(node), "t-2");
     assertEquals("t-2", firstRequest.get().requestId());
   }
 
+  /** The client disconnects during the first attempt, whose connection the endpoint then closes. */
   @Test
   void requestIsNotRetriedIfClientDisconnectsBetweenAttempts() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
@@ -98,37 +106,41 @@
     assertEquals("t-2", server.awaitRequest().requestId());
   }
 
-  /** The request's id is still known to the gateway, though not to its host. */
+  /**
+   * After the disconnect, the gateway keeps the first request until its counter call ends, while
+   * the host no longer has it and passes the second one on. The gateway must not ignore that one as
+   * a duplicate.
+   */
   @Test
   void requestSentAgainDuringCounterCallOfItsFirstSendingGetsResponse() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
-    letCounterRespondAfter(proceed);
+    delayCounterResponsesUntil(proceed);
     EdgeNode node = startNode(slowCounterConfig(startOkServer("x")));
     Socket client = connect(node);
-    writeRequest(client, "POST /api", countedRequestHeaders("t-1"), "book");
+    writeRequest(client, "POST /api", sharedQuotaRequestHeaders("t-1"), "book");
     counter.awaitRequest();
     client.close();
     awaitAllDisconnected(node);
-    Socket again = connect(node);
-    writeRequest(again, "POST /api", countedRequestHeaders("t-1"), "book");
-    assertEquals("503", readStatus(again));
+    Socket secondClient = connect(node);
+    writeRequest(secondClient, "POST /api", sharedQuotaRequestHeaders("t-1"), "book");
+    assertEquals("503", readStatus(secondClient));
     proceed.complete(null);
   }
 
-  /** The close is behind the pipelined requests, so the node must read these to see it. */
+  /** The close follows the pipelined requests, so the node must read these to detect it. */
   @Test
   void requestIsNotSentIfClientPipelinesAndDisconnectsDuringCounterCall() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
-    letCounterRespondAfter(proceed);
+    delayCounterResponsesUntil(proceed);
     ScriptedServer server = startOkServer("x");
     EdgeNode node = startNode(slowCounterConfig(server));
     Socket client = connect(node);
-    writeRequest(client, "POST /api", countedRequestHeaders("t-1"), "book");
+    writeRequest(client, "POST /api", sharedQuotaRequestHeaders("t-1"), "book");
     counter.awaitRequest();
     for (int i = 0; i < 4; i++) {
-      writeRequest(client, "POST /api", countedRequestHeaders("a-" + i), "x".repeat(40_000));
+      writeRequest(client, "POST /api", sharedQuotaRequestHeaders("a-" + i), "x".repeat(40_000));
       if (i == 1) {
-        // The rest then comes with a further read.
+        // The remaining requests are then read separately.
         awaitOnEventLoop(node, () -> node.usedRequestBytes() > 80_000);
       }
     }
@@ -139,7 +151,10 @@
     assertEquals("t-2", server.awaitRequest().requestId());
   }
 
-  /** The codec may read further where the node has turned reading off. */
+  /**
+   * Guards against a decoder that requests further reads although the node has turned auto-read
+   * off: the pipelined bytes of a connection would then be read without bound.
+   */
   @Test
   void pipelinedBytesAreBoundedHoweverLongARequestTakes() throws Exception {
     ScriptedServer server = startServer(request -> {});
@@ -159,12 +174,14 @@
         });
     awaitOnEventLoop(node, () -> node.readingPausedCount() == 1);
     for (int i = 0; i < 3_000; i++) {
-      long heldBytes = callOnEventLoop(node, node::usedRequestBytes);
-      assertTrue(heldBytes < MAX_HELD_BYTES, "held bytes: " + heldBytes);
+      long usedBytes = callOnEventLoop(node, node::usedRequestBytes);
+      assertTrue(
+          usedBytes < MAX_USED_BYTES,
+          "requests use " + usedBytes + " bytes, must be less than " + MAX_USED_BYTES);
     }
   }
 
-  /** After a stall, the request and the close behind it are found by the same poll. */
+  /** After an event-loop stall, one poll finds both the request and the close that follows it. */
   @Test
   void requestIsNotSentIfClientDisconnectsBeforeItIsRead() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -184,16 +201,16 @@
     assertEquals("t-2", server.awaitRequest().requestId());
   }
 
-  /** After a stall, a poll may find the end of the attempt ahead of the client's close. */
+  /** After an event-loop stall, a poll may find the attempt's end before the client's close. */
   @Test
   void requestIsNotRetriedIfClientDisconnectsDuringEventLoopStall() throws Exception {
     CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
-    ScriptedServer server = startServerThatHoldsFirst(firstRequest);
+    ScriptedServer server = startServerThatWithholdsFirstResponse(firstRequest);
     EdgeNode node = startNode(server);
     Socket client = connect(node);
     writeIdempotentRequest(client, "t-1");
     server.awaitRequest();
-    // This leaves an idle connection, on which a retry could be sent at once.
+    // This leaves an idle connection on which a retry could be sent immediately.
     writeIdempotentRequest(connect(node), "t-0");
     server.awaitRequest();
     awaitReusableConnection(node);
@@ -208,11 +225,14 @@
     assertEquals("t-2", server.awaitRequest().requestId());
   }
 
-  /** Behind so many unread bytes the close is not seen: each pipelined request must be given up. */
+  /**
+   * The client pipelines more bytes than the node reads ahead, so the node cannot detect the close
+   * that follows them: it must fail each pipelined request instead of forwarding it.
+   */
   @Test
   void pipelinedRequestsAreNotSentIfClientDisconnectsUnseen() throws Exception {
     CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
-    ScriptedServer server = startServerThatHoldsFirst(firstRequest);
+    ScriptedServer server = startServerThatWithholdsFirstResponse(firstRequest);
     EdgeNode node = startNode(server);
     Socket client = connect(node);
     writeKeyedRequest(client, "t-1");
@@ -234,17 +254,20 @@
     assertEquals("t-2", server.awaitRequest().requestId());
   }
 
-  /** The node cannot see whether this client is still connected, so it gives the request up. */
+  /**
+   * The node cannot detect whether a client with unread bytes is still connected, so it fails the
+   * request instead of forwarding it.
+   */
   @Test
   void requestBeforeMorePipelinedBytesThanAreReadIsGivenUp() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
-    letCounterRespondAfter(proceed);
+    delayCounterResponsesUntil(proceed);
     ScriptedServer server = startOkServer("x");
     EdgeNode node = startNode(slowCounterConfig(server));
     Socket client = connect(node);
-    writeRequest(client, "POST /api", countedRequestHeaders("t-1"), "book");
+    writeRequest(client, "POST /api", sharedQuotaRequestHeaders("t-1"), "book");
     counter.awaitRequest();
-    writeRequest(client, "POST /api", countedRequestHeaders("a-1"), "x".repeat(600_000));
+    writeRequest(client, "POST /api", sharedQuotaRequestHeaders("a-1"), "x".repeat(600_000));
     awaitOnEventLoop(node, () -> node.readingPausedCount() == 1);
     runOnEventLoop(node, () -> Thread.sleep(250));
     proceed.complete(null);
@@ -254,20 +277,21 @@
   }
 
   /**
-   * Else a request that comes while the event loop is stalled is lost if its connection has been
-   * idle for too long when the stall ends.
+   * Guards against the loss of a request that arrives while the event loop is stalled: its
+   * connection has exceeded the idle timeout when the stall ends, and the timeouts are checked
+   * before the sockets are polled.
    */
   @Test
   void idleConnectionIsNotClosedOverRequestThatArrivedDuringEventLoopStall() throws Exception {
     EdgeNode node = startNode(startOkServer("x"));
     Socket client = connect(node);
     assertEquals("200", requestStatus(client, "t-1"));
-    actDuringStallBeforeTimeoutCheck(
+    runDuringStallBeforeTimeoutCheck(
         node, () -> writeKeyedRequest(client, "t-2"), STALL_BEYOND_IDLE_TIMEOUT_MILLIS);
     assertEquals("200", readStatus(client));
   }
 
-  /** As above; the rest of a request comes while the event loop is stalled. */
+  /** Like the previous test, but the rest of a request arrives while the event loop is stalled. */
   @Test
   void requestCompletedDuringEventLoopStallIsNotTimedOut() throws Exception {
     EdgeNode node = startNode(startOkServer("x"));
@@ -275,17 +299,20 @@
     String head = requestHead("POST /api", requestHeaders("t-1", "order", "20000"));
     writeText(client, head + "Content-Length: 4\r\n\r\nbo");
     awaitOnEventLoop(node, () -> node.usedRequestBytes() > 0);
-    actDuringStallBeforeTimeoutCheck(
+    runDuringStallBeforeTimeoutCheck(
         node, () -> writeText(client, "ok"), STALL_BEYOND_REQUEST_TIMEOUT_MILLIS);
     assertEquals("200", readStatus(client));
   }
 
-  /** A response that fills the write buffer makes the connection go on twice. */
+  /**
+   * A response that fills the write buffer resumes decoding twice: once by itself, and once when
+   * the buffer is writable again. Each pipelined request must still get one response.
+   */
   @Test
   void pipelinedRequestsBehindLargeResponseAllGetResponses() throws Exception {
     int pipelined = 4;
     CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
-    EdgeNode node = startNode(startServerThatHoldsFirst(firstRequest));
+    EdgeNode node = startNode(startServerThatWithholdsFirstResponse(firstRequest));
     Socket client = connect(node);
     writeKeyedRequest(client, "t-1");
     ScriptedServer.Message attempt = firstRequest.get();
@@ -298,10 +325,10 @@
   }
 
   /**
-   * Acts during a stall of the event loop that ends with a check of the timeouts: both tasks are
-   * due in one turn, with no poll of the sockets between them.
+   * Runs an action in a stall of the event loop that a check of the timeouts directly follows: both
+   * tasks are due in one turn, with no poll of the sockets between them.
    */
-  private static void actDuringStallBeforeTimeoutCheck(
+  private static void runDuringStallBeforeTimeoutCheck(
       EdgeNode node, Action action, long stallMillis) throws Exception {
     runOnEventLoop(
         node,
--- a/src/test/java/merlinrouter/node/DeadlineRaceTest.java
+++ b/src/test/java/merlinrouter/node/DeadlineRaceTest.java
@@ -16,7 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request's deadline passes while it waits or while the event loop is stalled. */
+/**
+ * Tests the deadlines and the forwarded timeouts of requests that are delayed by their connection,
+ * by their client or by a stall of the event loop. A client's timeout counts from the arrival of
+ * the first byte of its request.
+ */
 @Timeout(120)
 class DeadlineRaceTest extends EventLoopFixture {
   private static final long STALL_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -24,22 +28,28 @@
   private static final long ACCEPT_STALL_MILLIS = 500;
   private static final long PAUSE_WITHIN_REQUEST_MILLIS = 300;
 
-  /** How many connections one poll accepts. */
+  /** The maximum number of connections that one poll accepts. */
   private static final int ACCEPTS_PER_POLL = 16;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A latency objective so short that a request with little time left is still forwarded. */
+  /**
+   * Returns a configuration with a latency objective of 400 ms, short enough that a request with
+   * little time left is still forwarded.
+   */
   private String shortObjectiveConfig(ScriptedServer server) throws IOException {
     return withSetting(
         configJson(readyEndpointJson("s-0", server.address())), "aim-ns", 400_000_000L);
   }
 
-  /** Otherwise the response would come when the client no longer waits for it. */
+  /**
+   * Guards against a deadline that counts from the decoding of a pipelined request: the response
+   * would be sent when the client no longer waits for it.
+   */
   @Test
   void deadlineOfPipelinedRequestCountsFromItsArrival() throws Exception {
     CompletableFuture<ScriptedServer.Message> firstRequest = new CompletableFuture<>();
-    ScriptedServer server = startServerThatHoldsFirst(firstRequest);
+    ScriptedServer server = startServerThatWithholdsFirstResponse(firstRequest);
     EdgeNode node = startNode(shortObjectiveConfig(server));
     Socket client = connect(node);
     writeKeyedRequest(client, "t-1");
@@ -53,12 +63,12 @@
           firstRequest.join().respond(ScriptedServer.okResponse("", "x"));
         });
     assertEquals("200", readStatus(client));
-    assertFalse(readStatus(client).equals("200"), "it was served after its deadline");
+    assertFalse(readStatus(client).equals("200"), "request t-2 was served after its deadline");
     writeKeyedRequest(client, "t-3");
     assertEquals("t-3", server.awaitRequest().requestId());
   }
 
-  /** The request arrives during a stall of the event loop that outlasts its deadline. */
+  /** The request arrives during a stall of the event loop that lasts beyond its deadline. */
   @Test
   void deadlineOfUnreadRequestCountsFromItsArrival() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -72,12 +82,15 @@
           writeRequest(client, "POST /api", requestHeaders("t-2", "order", "400"), "book");
           Thread.sleep(450);
         });
-    assertFalse(readStatus(client).equals("200"), "it was served after its deadline");
+    assertFalse(readStatus(client).equals("200"), "request t-2 was served after its deadline");
     writeKeyedRequest(client, "t-3");
     assertEquals("t-3", server.awaitRequest().requestId());
   }
 
-  /** Else a client that connects ahead of its request loses that time of its timeout. */
+  /**
+   * Guards against a timeout that counts from the connect: a client that connects some time before
+   * it sends its request would lose that time.
+   */
   @Test
   void deadlineOfFirstRequestExcludesTimeBeforeItOnItsConnection() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -93,10 +106,13 @@
     long leftMillis = leftMillis(node, earliestArrivalNanos);
     assertTrue(
         forwardedMillis >= leftMillis,
-        "forwarded " + forwardedMillis + " ms while " + leftMillis + " were left");
+        "forwarded a timeout of " + forwardedMillis + " ms, " + leftMillis + " ms were left");
   }
 
-  /** Else the time that a request takes to arrive is added to its client's timeout. */
+  /**
+   * Guards against a timeout that counts from the last byte of a request: the time that the request
+   * takes to arrive would be added to its client's timeout.
+   */
   @Test
   void forwardedTimeoutExcludesTimeBetweenFirstAndLastByteOfRequest() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -117,12 +133,19 @@
       long forwardedMillis = forwardedTimeoutMillis(server.awaitRequest());
       assertTrue(
           forwardedMillis <= 20_000 - TimeUnit.NANOSECONDS.toMillis(pausedNanos),
-          "forwarded " + forwardedMillis + " ms, first part of " + firstPart + " bytes");
+          "forwarded a timeout of "
+              + forwardedMillis
+              + " ms, the request's first part has "
+              + firstPart
+              + " bytes");
       assertEquals("200", readStatus(client));
     }
   }
 
-  /** The client connects during a stall of the event loop, behind as many as one poll accepts. */
+  /**
+   * The client connects during a stall of the event loop, behind as many others as one poll
+   * accepts, so a later poll accepts it. Its timeout must not count from there.
+   */
   @Test
   void forwardedTimeoutExcludesWaitForAcceptBehindAsManyClientsAsOnePollAccepts() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -142,10 +165,14 @@
     long forwardedMillis = forwardedTimeoutMillis(server.awaitRequest());
     assertTrue(
         forwardedMillis <= 20_000 - stalledMillis,
-        "forwarded " + forwardedMillis + " ms after a stall of " + stalledMillis);
+        "forwarded a timeout of "
+            + forwardedMillis
+            + " ms after a stall of "
+            + stalledMillis
+            + " ms");
   }
 
-  /** What is left now, in whole milliseconds, to a request of the default timeout. */
+  /** Returns the time left to a request with a timeout of 20 s, in whole milliseconds. */
   private static long leftMillis(EdgeNode node, long arrivedAtNanos) {
     long timeoutNanos = TimeUnit.SECONDS.toNanos(20);
     long deadlineNanos = node.deadlineNanos(node.toGatewayTime(arrivedAtNanos), timeoutNanos);
@@ -156,7 +183,10 @@
     return Long.parseLong(attempt.headers().get("x-expires-in-ms"));
   }
 
-  /** A collection stalls the event loop for longer, the smaller the node's part of a core is. */
+  /**
+   * The smaller the fraction of a core that the node may use, the longer a garbage collection
+   * stalls the event loop, and the earlier the response must be due.
+   */
   @Test
   void finalResponseIsDueBeforeAGarbageCollectionCouldDelayIt() throws Exception {
     EdgeNode onOneCore = startNode();
@@ -164,7 +194,7 @@
         startNode(configJson().replace("\"sockets\": 1024", "\"sockets\": 1024, \"cores\": 0.25"));
     assertDeadlineMillis(976, onOneCore, 1_000);
     assertDeadlineMillis(904, onQuarterCore, 1_000);
-    // The margin takes only a part of a short timeout, but at least the time for the response.
+    // The margin is only a part of a short timeout, but at least the time to write a response.
     assertDeadlineMillis(150, onQuarterCore, 200);
     assertDeadlineMillis(8, onQuarterCore, 20);
     assertDeadlineMillis(1, onQuarterCore, 3);
@@ -177,7 +207,10 @@
         "with a timeout of " + timeoutMillis + " ms");
   }
 
-  /** A log line that is written slowly stalls the event loop between two attempts. */
+  /**
+   * A slow write of a log line stalls the event loop between two attempts. The timeout that the
+   * retry forwards must not include the time of the stall.
+   */
   @Test
   void forwardedTimeoutExcludesEventLoopStallBeforeTheAttempt() throws Exception {
     AtomicBoolean failNext = new AtomicBoolean(true);
@@ -224,14 +257,18 @@
     }
     assertTrue(
         minMillis <= maxMillis,
-        "forwarded " + minMillis + " ms after the stall, at most " + maxMillis + " are left");
+        "forwarded a timeout of "
+            + minMillis
+            + " ms after the stall, at most "
+            + maxMillis
+            + " ms were left");
   }
 
-  /** Behind a stall, a response that is overdue is not delayed further by what came meanwhile. */
+  /** After a stall, an overdue response is not delayed further by events that arrived during it. */
   @Test
   void overdueResponseIsSentBeforeTheNextEventIsHandled() throws Exception {
     CompletableFuture<ScriptedServer.Message> received = new CompletableFuture<>();
-    EdgeNode node = startNode(startServerThatHoldsFirst(received));
+    EdgeNode node = startNode(startServerThatWithholdsFirstResponse(received));
     RequestTimeline timeline = new RequestTimeline(System.nanoTime(), STALL_NANOS);
     CompletableFuture<String> overdue =
         callOnEventLoop(node, () -> submitRequest(node, "t-1", timeline));
@@ -243,7 +280,9 @@
             Thread.onSpinWait();
           }
           submitRequest(node, "t-2");
-          assertTrue(overdue.isDone(), "the new request was handled first");
+          assertTrue(
+              overdue.isDone(),
+              "request t-2 was handled before the overdue response to t-1 was sent");
         });
     assertEquals("failed", overdue.get());
   }
--- a/src/test/java/merlinrouter/node/EventLoopFixture.java
+++ b/src/test/java/merlinrouter/node/EventLoopFixture.java
@@ -15,27 +15,28 @@
 import merlinrouter.node.request.ResponseSink;
 
 /**
- * What tests of race conditions share. They force an order of events by a server that waits, by a
- * connect that is not accepted, or by work on the node's event loop while something happens
- * outside. They only ever outlast a duration, so that a slow machine changes no result.
+ * The fixture of tests of race conditions. They force an order of events with a server that delays
+ * its response, with a connect that stays in flight, or with a task that blocks the node's event
+ * loop while events occur outside it. They rely only on waits that last at least a given time, so
+ * that a slow machine does not change a result.
  */
 abstract class EventLoopFixture extends NodeFixture {
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
 
-  /** Longer than the 10 ms for which a connection is not used again after a response. */
-  private static final long QUIET_PERIOD_OVER_MILLIS = 30;
+  /** Longer than the quiet period: a connection is not reused within 10 ms of a response. */
+  private static final long BEYOND_QUIET_PERIOD_MILLIS = 30;
 
-  /** Work on the event loop that may block it. */
+  /** A task for the event loop, which it may block. */
   interface Action {
     void run() throws Exception;
   }
 
-  /** Runs on the event loop and waits for the result. */
+  /** Runs a task on the event loop and waits for its result. */
   static <T> T callOnEventLoop(EdgeNode node, Callable<T> task) throws Exception {
     return node.loop().submit(task).get();
   }
 
-  /** Runs on the event loop and waits for the end. */
+  /** Runs an action on the event loop and waits for its end. */
   static void runOnEventLoop(EdgeNode node, Action action) throws Exception {
     callOnEventLoop(
         node,
@@ -45,14 +46,14 @@
         });
   }
 
-  /** Waits until the condition holds on the event loop. */
+  /** Waits until a condition holds, which is evaluated on the event loop. */
   static void awaitOnEventLoop(EdgeNode node, Callable<Boolean> condition) throws Exception {
     while (!callOnEventLoop(node, condition)) {
       Thread.onSpinWait();
     }
   }
 
-  /** Waits until the node has seen all its clients disconnect. */
+  /** Waits until the node has detected the disconnects of all its clients. */
   static void awaitAllDisconnected(EdgeNode node) throws Exception {
     while (node.clientConnectionCount() > 0) {
       Thread.onSpinWait();
@@ -62,44 +63,47 @@
   /** Waits until one connection to an endpoint is idle and its quiet period is over. */
   static void awaitReusableConnection(EdgeNode node) throws Exception {
     awaitOnEventLoop(node, () -> node.pool().idle() == 1);
-    node.loop().schedule(() -> {}, QUIET_PERIOD_OVER_MILLIS, TimeUnit.MILLISECONDS).get();
+    node.loop().schedule(() -> {}, BEYOND_QUIET_PERIOD_MILLIS, TimeUnit.MILLISECONDS).get();
   }
 
-  /** Writes a request that may be repeated without an idempotency key. */
+  /** Writes a request that may be retried without an idempotency key. */
   static void writeIdempotentRequest(Socket client, String requestId) throws IOException {
     writeRequest(client, "GET /api", requestHeaders(requestId, "lookup", "20000"), "");
   }
 
-  /** Responds with 200, but request {@code t-1} completes {@code first} and gets no response. */
-  ScriptedServer startServerThatHoldsFirst(CompletableFuture<ScriptedServer.Message> first)
-      throws IOException {
+  /**
+   * Starts a server that responds with 200, except to request {@code t-1}, which completes {@code
+   * firstRequest} and gets no response from the script.
+   */
+  ScriptedServer startServerThatWithholdsFirstResponse(
+      CompletableFuture<ScriptedServer.Message> firstRequest) throws IOException {
     return startServer(
         request -> {
           if (request.requestId().equals("t-1")) {
-            first.complete(request);
+            firstRequest.complete(request);
           } else {
             request.respond(ScriptedServer.okResponse("", "x"));
           }
         });
   }
 
-  /** A server whose responses have the request's id as their body. */
+  /** Starts a server that responds with the request's id as the body. */
   ScriptedServer startEchoServer() throws IOException {
     return startServer(
         request -> request.respond(ScriptedServer.okResponse("", request.requestId())));
   }
 
   /**
-   * Hands a request to the node without a client's connection. Called on the event loop, so that no
-   * other event comes between. Completes with the response's body, {@code "rejected"} or {@code
-   * "failed"}.
+   * Passes a request to the node without a client connection. Must be called on the event loop, so
+   * that no other event is handled in between. The future completes with the response's body, with
+   * {@code "rejected"} or with {@code "failed"}.
    */
   static CompletableFuture<String> submitRequest(EdgeNode node, String requestId) {
     return submitRequest(
         node, requestId, new RequestTimeline(System.nanoTime(), REQUEST_TIMEOUT_NANOS));
   }
 
-  /** As {@link #submitRequest(EdgeNode, String)}, with the times of the request's client. */
+  /** Like {@link #submitRequest(EdgeNode, String)}, with the client's deadline in a timeline. */
   static CompletableFuture<String> submitRequest(
       EdgeNode node, String requestId, RequestTimeline timeline) {
     CompletableFuture<String> response = new CompletableFuture<>();
--- a/src/test/java/merlinrouter/node/FullBacklogServer.java
+++ b/src/test/java/merlinrouter/node/FullBacklogServer.java
@@ -28,12 +28,15 @@
     }
   }
 
-  /** Where the server listens, as {@code host:port}. */
+  /** Returns the address that the server listens on, as {@code host:port}. */
   String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Accepts all connections; completes with the first request, and responds to it. */
+  /**
+   * Closes the connections that fill the queue, and accepts all others from now on. The server
+   * responds to the first request of each; the future completes with the first one of all.
+   */
   CompletableFuture<ScriptedServer.Message> acceptAll() throws IOException {
     for (Socket socket : queued) {
       socket.close();
@@ -49,7 +52,7 @@
     return firstRequest;
   }
 
-  /** A connection of the queue ends with no request. */
+  /** Responds to a connection's first request; those that filled the queue have none. */
   private static void respond(
       Socket connection, CompletableFuture<ScriptedServer.Message> firstRequest)
       throws IOException {
--- a/src/test/java/merlinrouter/node/ScriptedServer.java
+++ b/src/test/java/merlinrouter/node/ScriptedServer.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP/1.1 server on loopback whose responses a test scripts: an endpoint, discovery or the
- * counter. Each connection has a thread of its own, on which the script runs.
+ * An HTTP/1.1 server on loopback with scripted responses, used by tests as an endpoint, discovery
+ * or the counter. Each connection has its own thread, which runs the script.
  */
 public final class ScriptedServer implements AutoCloseable {
   /** The head of a response whose body follows in {@linkplain #chunk chunks}. */
@@ -27,10 +27,10 @@
 
   private static final long REQUEST_TIMEOUT_SECONDS = 30;
 
-  /** The requests received, in the order of their last bytes. */
+  /** The received requests, in the order in which their last bytes were read. */
   final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
 
-  /** The connections that the other side has ended. */
+  /** The connections that the peer has closed. */
   final BlockingQueue<Socket> endedConnections = new LinkedBlockingQueue<>();
 
   private final ServerSocket listener =
@@ -46,32 +46,32 @@
         });
   }
 
-  /** A request or a response; the headers by their lower-case names. */
+  /** A request or a response; the header names are in lower case. */
   public record Message(
       String startLine, Map<String, String> headers, String body, Socket connection) {
     String requestId() {
       return headers.get("x-trace-id");
     }
 
-    /** Writes these bytes to the connection that the message came from. */
+    /** Writes text to the connection on which the message was received. */
     void respond(String text) throws IOException {
       connection.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       connection.getOutputStream().flush();
     }
   }
 
-  /** What a server does with a request: it may respond, close the connection, or stay silent. */
+  /** Handles the requests to a server: it may respond, close the connection, or do neither. */
   public interface Script {
-    /** Called on the connection's thread; an exception ends the reading of the connection. */
+    /** Handles a request on its connection's thread; an exception ends the thread. */
     void handle(Message request) throws IOException, InterruptedException;
   }
 
-  /** What a thread of a server or client does until its connection ends. */
+  /** The work of a server's or a client's thread, which may end with an exception. */
   interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  /** Starts a daemon thread, which ends without a word when its connection does. */
+  /** Starts a daemon thread, which ends silently when its connection fails. */
   static void startThread(Task task) {
     Thread thread =
         new Thread(
@@ -79,7 +79,7 @@
               try {
                 task.run();
               } catch (IOException | InterruptedException e) {
-                // The connection or the test has ended.
+                // The connection was closed or the test has ended.
               }
             });
     thread.setDaemon(true);
@@ -96,21 +96,21 @@
     endedConnections.add(connection);
   }
 
-  /** Where the server listens, as {@code host:port}. */
+  /** Returns the address that the server listens on, as {@code host:port}. */
   public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Takes the next request; fails if none comes within 30 s. */
+  /** Removes and returns the next received request; fails if there is none within 30 s. */
   public Message awaitRequest() throws InterruptedException {
     Message request = received.poll(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (request == null) {
-      throw new AssertionError("no request was received");
+      throw new AssertionError("no request was received within " + REQUEST_TIMEOUT_SECONDS + " s");
     }
     return request;
   }
 
-  /** A response with status 200; each of the header lines ends with CRLF. */
+  /** Returns a response with status 200; each of the header lines must end with CRLF. */
   public static String okResponse(String headerLines, String body) {
     return "HTTP/1.1 200 OK\r\n"
         + headerLines
@@ -120,12 +120,15 @@
         + body;
   }
 
-  /** A chunk of a body in chunked transfer encoding; the text is ASCII. */
+  /** Returns a chunk of a body in chunked transfer encoding; the text must be ASCII. */
   public static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  /** Reads a request or response with a length or without body; null at the connection's end. */
+  /**
+   * Reads a request or a response that has a content length or no body; returns null at the end of
+   * the connection.
+   */
   public static Message readMessage(Socket connection) throws IOException {
     InputStream input = connection.getInputStream();
     String startLine = readLine(input);
