--- a/src/test/java/merlinrouter/node/ClientConnectionLimitTest.java
+++ b/src/test/java/merlinrouter/node/ClientConnectionLimitTest.java
@@ -13,15 +13,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients connect and send requests while a node has as many connections as it may have. */
+/** Tests clients that connect or send requests while the node is at its connection limit. */
 @Timeout(120)
 class ClientConnectionLimitTest extends EventLoopFixture {
   private static final long MAX_SOCKETS = 16;
 
-  /** Half of {@link #MAX_SOCKETS}. */
+  /** The limit of client connections: half of {@link #MAX_SOCKETS}. */
   private static final int MAX_CONNECTIONS = 8;
 
+  /** Longer than the time for which a draining node accepts new connections. */
   private static final long BEYOND_GRACE_MILLIS = 700;
+
   private static final String BODY = "book";
 
   /** Larger than the bodies of all other requests together. */
@@ -46,7 +48,10 @@
     awaitOnEventLoop(node, () -> node.usedRequestBytes() == bytesBefore + bytes);
   }
 
-  /** Connects a client whose request waits in the kernel, since no further one is accepted. */
+  /**
+   * Connects a client and writes its request, which the node cannot read: at the limit, the
+   * connection waits in the kernel's backlog.
+   */
   private Socket connectBeyondLimit(EdgeNode node) throws IOException {
     Socket waiting = connect(node);
     writeRequest(waiting, "POST /api", requestHeaders("w-1", "order", "20000"), LARGE_BODY);
@@ -59,7 +64,10 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Sends all but the last two bytes of a request, and waits until they are read. */
+  /**
+   * Connects a client, sends all but the last two bytes of a request, and waits until these are
+   * read.
+   */
   private Socket connectWithPartOfRequest(EdgeNode node, byte[] request) throws Exception {
     Socket client = connect(node);
     client.getOutputStream().write(request, 0, request.length - 2);
@@ -67,7 +75,10 @@
     return client;
   }
 
-  /** Else clients that keep their connections would leave no room for others, however long. */
+  /**
+   * Guards against clients that keep their connections open at the limit: others would wait for
+   * accept for an unlimited time.
+   */
   @Test
   void connectionClosesWithItsResponseWhileOtherClientsWaitForAccept() throws Exception {
     ScriptedServer server = startServer(request -> {});
@@ -78,11 +89,12 @@
     attempt.respond(ScriptedServer.okResponse("", "x"));
     ScriptedServer.Message response = ScriptedServer.readMessage(clients.get(attempt.requestId()));
     assertEquals("200", status(response));
-    assertEquals("close", response.headers().get("connection"), "of the first response");
+    assertEquals(
+        "close", response.headers().get("connection"), "connection header of the first response");
     awaitOnEventLoop(node, () -> node.usedRequestBytes() > LARGE_BODY.length());
   }
 
-  /** Closing the listening socket would reset them. */
+  /** Closing the listening socket would reset the connections that wait for accept. */
   @Test
   void drainServesClientsThatWaitForAcceptAtTheLimit() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
@@ -96,7 +108,10 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** The event loop accepts a connection, and closes another one for it, before it reads that. */
+  /**
+   * The event loop accepts a connection, and would evict another one for it, before it reads what
+   * has arrived on that one.
+   */
   @Test
   void connectionIsNotEvictedOverRequestWhoseRestHasArrivedUnread() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
@@ -118,7 +133,10 @@
     assertEquals("200", readStatus(client));
   }
 
-  /** Its client may be sending the rest, and would get no response at all. */
+  /**
+   * Guards against an eviction without a response: the client may still be sending the rest of its
+   * request.
+   */
   @Test
   void evictedConnectionThatHasReceivedPartOfRequestGetsResponse() throws Exception {
     EdgeNode node = startLimitedNode(startOkServer("x", new CompletableFuture<>()));
--- a/src/test/java/merlinrouter/node/MalformedResponseTest.java
+++ b/src/test/java/merlinrouter/node/MalformedResponseTest.java
@@ -12,10 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Endpoints whose responses are malformed, or are followed by bytes of no response. */
+/** Tests endpoints that send malformed responses, or bytes that belong to no response. */
 @Timeout(120)
 class MalformedResponseTest extends NodeFixture {
-  /** The connection must not return to the pool: the bytes would pass for the next response. */
+  /**
+   * A connection with trailing bytes must not return to the pool: the bytes would be taken for the
+   * response to the next request.
+   */
   @Test
   void bytesBehindAResponseAreNeverTakenForTheNextOne() throws Exception {
     for (String trailing :
@@ -59,9 +62,12 @@
         "a connection with bytes that belong to no request was kept");
   }
 
-  /** The connection stays open: waiting for more would take all of the request's time. */
+  /**
+   * The endpoint keeps the connection open: an attempt that waited for more bytes would use up the
+   * request's timeout.
+   */
   @Test
-  void aMalformedResponseEndsTheAttemptAtOnce() throws Exception {
+  void aMalformedResponseEndsTheAttemptImmediately() throws Exception {
     for (String malformed :
         List.of(
             "noise",
@@ -69,7 +75,7 @@
             "\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nhalf",
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf",
-            "HTTP/1.1 200 OK\r\n\r\nno end told",
+            "HTTP/1.1 200 OK\r\n\r\nno length",
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nhalf",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -94,16 +100,17 @@
       ScriptedServer.Message response = ScriptedServer.readMessage(client);
       assertEquals("200", status(response), malformed);
       assertEquals("good", response.body(), malformed);
-      // It may have been executed: a request that is not idempotent is not retried.
+      // The request may have been executed: if it is not idempotent, it must not be retried.
       ScriptedServer nonIdempotent = startServer(request -> request.respond(malformed));
       Socket otherClient = connect(startNode(nonIdempotent));
       writeRequest(otherClient, "POST /api", requestHeaders("t-2", "strict", "20000"), "book");
       assertEquals("502", readStatus(otherClient), malformed);
       nonIdempotent.awaitRequest();
-      assertTrue(nonIdempotent.received.isEmpty(), "it must be sent once: " + malformed);
+      assertTrue(nonIdempotent.received.isEmpty(), "request t-2 must be sent once: " + malformed);
     }
   }
 
+  /** Invalid headers with charged units and load in the final response are ignored as well. */
   @Test
   void informationalResponsesAheadOfAFinalOneAreSkipped() throws Exception {
     ScriptedServer server =
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that send invalid requests, too much, too little or nothing. */
+/** Tests clients that send invalid, too large or incomplete requests, or nothing. */
 @Timeout(120)
 class MisbehavingClientTest extends NodeFixture {
   private static String keyedRequestHead(String requestId) {
@@ -24,7 +24,8 @@
   }
 
   /**
-   * An error response and a close; a reset is enough if the client left much unread by the node.
+   * Asserts that the node sends an error response and closes the connection. A reset is accepted as
+   * well: it may replace the response if the node closes the connection with bytes unread.
    */
   private static void assertRejected(Socket client, String status, String description)
       throws IOException {
@@ -38,14 +39,14 @@
     }
   }
 
-  /** What follows a rejected request may be a part of it (request smuggling). */
+  /** Guards against request smuggling: bytes behind a rejected request may be a part of it. */
   @Test
   void nothingBehindARejectedRequestIsRead() throws Exception {
     ScriptedServer server = startOkServer("x");
     EdgeNode node = startNode(server);
     String valid = keyedRequestHead("t-2") + "Content-Length: 0\r\n\r\n";
     String head = keyedRequestHead("t-1");
-    for (String bad :
+    for (String invalid :
         List.of(
             head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
@@ -69,31 +70,32 @@
             "nonsense\r\n\r\n",
             "\u0000\u0001\u0002\r\n\r\n")) {
       Socket client = connect(node);
-      writeText(client, bad + valid);
-      assertRejected(client, "400", bad);
+      writeText(client, invalid + valid);
+      assertRejected(client, "400", invalid);
     }
-    assertTrue(server.received.isEmpty(), "none of these may reach an endpoint");
+    assertTrue(server.received.isEmpty(), "no invalid request may be forwarded");
   }
 
+  /** The limit is 65,536 bytes, for a declared length as well as for the sum of the chunks. */
   @Test
   void tooLargeBodyIsRejectedUnread() throws Exception {
     ScriptedServer server = startOkServer("x");
     EdgeNode node = startNode(server);
     String head = keyedRequestHead("t-1");
-    for (String bad :
+    for (String invalid :
         List.of(
             "Content-Length: 65537\r\n\r\n",
             "Content-Length: 60000000\r\n\r\n" + "x".repeat(9_000),
             "Transfer-Encoding: chunked\r\n\r\n"
                 + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17))) {
       Socket client = connect(node);
-      writeText(client, head + bad);
-      assertRejected(client, "413", bad.substring(0, 24));
+      writeText(client, head + invalid);
+      assertRejected(client, "413", invalid.substring(0, 24));
     }
     assertTrue(server.received.isEmpty());
   }
 
-  /** Without timeouts, connections that send nothing would stay open for ever. */
+  /** Without timeouts, connections whose clients send nothing would stay open forever. */
   @Test
   void silentAndIncompleteClientsTimeOutAndOpenRequestsDoNot() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
@@ -107,16 +109,18 @@
     Socket halfBody = connect(node);
     writeText(halfBody, keyedRequestHead("t-2") + "Content-Length: 9\r\n\r\nhalf");
     Socket silent = connect(node);
-    assertRejected(halfHead, "408", "half a head");
-    assertRejected(halfBody, "408", "half a body");
+    assertRejected(halfHead, "408", "incomplete head");
+    assertRejected(halfBody, "408", "incomplete body");
     assertNull(ScriptedServer.readMessage(silent));
     // The request has been open for longer than both timeouts.
     proceed.complete(null);
     assertEquals("200", readStatus(busy));
-    assertNull(ScriptedServer.readMessage(busy), "then the connection is idle, and closes");
+    assertNull(
+        ScriptedServer.readMessage(busy),
+        "the connection must be closed when it has been idle for too long");
   }
 
-  /** Otherwise many connections with pipelined requests could exhaust the memory. */
+  /** If they were read, many connections with pipelined requests could exhaust the memory. */
   @Test
   void pipelinedRequestsWaitUnread() throws Exception {
     int count = 400;
@@ -147,26 +151,28 @@
     Socket other = connect(node);
     writeKeyedRequest(other, "t-1");
     server.awaitRequest();
-    assertFalse(written.isDone(), "all of 25 MB was read");
+    assertFalse(written.isDone(), "all 25 MB of pipelined requests were read");
     proceed.complete(null);
     assertEquals("200", readStatus(other));
-    // Each has one response, in order: its own, or a failure, since behind so many unread bytes its
-    // client may have disconnected more than 100 ms ago.
+    // Each request gets one response, in order: its own, or a failure, because with so many bytes
+    // unread the client may have disconnected more than 100 ms ago.
     for (int i = 0; i < count; i++) {
       ScriptedServer.Message response = ScriptedServer.readMessage(pipelining);
       assertEquals(status(response).equals("200") ? "a-" + i : "", response.body());
       assertTrue(Set.of("200", "502").contains(status(response)), response.startLine());
       assertTrue(
           i > 0 || status(response).equals("200"),
-          "the first was forwarded while its client was seen connected");
+          "the first request was forwarded while its client was known to be connected");
     }
     written.join();
-    // All is read now, so that the client is seen connected again.
+    // Everything is read now, so the client is known to be connected again.
     writeKeyedRequest(pipelining, "a-last");
     assertEquals("a-last", ScriptedServer.readMessage(pipelining).body());
   }
 
-  /** Clients that keep a connection after one request must leave some for others. */
+  /**
+   * Guards against clients that keep their connections after one request and leave none for others.
+   */
   @Test
   void idleConnectionsAreKeptUpToALimit() throws Exception {
     ScriptedServer server = startOkServer("done");
@@ -183,12 +189,13 @@
         assertEquals(
             "close",
             response.headers().get("connection"),
-            "a connection that closes must be announced");
+            "the close of a connection must be announced");
         assertEquals(-1, last.getInputStream().read());
       }
     }
     assertTrue(
-        node.clientConnectionCount() <= 17, "connections kept: " + node.clientConnectionCount());
+        node.clientConnectionCount() <= 17,
+        node.clientConnectionCount() + " connections are open, 17 allowed");
     assertEquals("200", requestStatus(connect(node), "k-30"));
   }
 
@@ -196,7 +203,7 @@
   void invalidRequestsAreRejected() throws Exception {
     ScriptedServer server = startOkServer("x");
     EdgeNode node = startNode(server);
-    Map<String, String> bad =
+    Map<String, String> invalid =
         new TreeMap<>(
             Map.of(
                 "X-Trace-Id",
@@ -213,7 +220,7 @@
                 "units=NaN,spread=1,first=0",
                 "Idempotency-Key",
                 ""));
-    for (Map.Entry<String, String> entry : bad.entrySet()) {
+    for (Map.Entry<String, String> entry : invalid.entrySet()) {
       Map<String, String> headers = requestHeaders("t-1", "order", "20000");
       headers.put(entry.getKey(), entry.getValue());
       Socket client = connect(node);
@@ -240,7 +247,7 @@
       writeRequest(client, entry.getKey(), valid, "");
       assertEquals(entry.getValue(), readStatus(client), entry.getKey());
     }
-    assertTrue(server.received.isEmpty(), "none of these may reach an endpoint");
+    assertTrue(server.received.isEmpty(), "no invalid request may be forwarded");
   }
 
   @Test
@@ -256,7 +263,7 @@
     assertEquals("200", readStatus(first));
   }
 
-  /** Otherwise silent connections could occupy all sockets. */
+  /** Without eviction, connections whose clients send nothing could occupy all sockets. */
   @Test
   void silentConnectionsAreEvictedForNewOnes() throws Exception {
     ScriptedServer server = startOkServer("x");
--- a/src/test/java/merlinrouter/node/UpstreamConnectionLimitTest.java
+++ b/src/test/java/merlinrouter/node/UpstreamConnectionLimitTest.java
@@ -9,15 +9,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More attempts than the node may have connections to endpoints. */
+/** Tests the limit of a node's connections to endpoints. */
 @Timeout(120)
 class UpstreamConnectionLimitTest extends EventLoopFixture {
-  /** A node with this many sockets or fewer may have as many connections to endpoints. */
+  /** The smallest limit of connections to endpoints, which applies at this many sockets. */
   private static final int MAX_CONNECTIONS = 16;
 
   private static final int ROUNDS = 4;
 
-  /** Else fast endpoints take the file descriptors that clients, discovery and counter need. */
+  /**
+   * Guards against new connections beyond the limit while idle ones are in their quiet period: fast
+   * endpoints would take the file descriptors that clients, discovery and counter need.
+   */
   @Test
   void limitHoldsWhileIdleConnectionsMayNotBeReusedYet() throws Exception {
     ScriptedServer[] servers = new ScriptedServer[MAX_CONNECTIONS];
@@ -31,7 +34,9 @@
       for (CompletableFuture<String> response : submitAll(node, round)) {
         assertEquals("t-" + round, response.get().substring(0, 3));
         int connections = callOnEventLoop(node, () -> node.pool().connections());
-        assertTrue(connections <= MAX_CONNECTIONS, connections + " connections");
+        assertTrue(
+            connections <= MAX_CONNECTIONS,
+            connections + " connections to endpoints, limit " + MAX_CONNECTIONS);
       }
     }
   }
