--- a/src/test/java/merlinrouter/node/EventOrderExplorationTest.java
+++ b/src/test/java/merlinrouter/node/EventOrderExplorationTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each request gets one final response in time, unless its client leaves, in whatever order events
- * come: orders by seed, and all orders of a few events. A failure names its seed or order and the
- * sequence of events.
+ * Tests that each request gets one final response in time, unless its client disconnects, in any
+ * order of events: in random orders by seed, and in all orders of a few events. A failure message
+ * contains the seed or the order, and the trace of events.
  */
 class EventOrderExplorationTest {
   private static final int SEEDS = 1_500;
@@ -28,10 +28,10 @@
   private static final long[] STALLS_MILLIS = {150, 300, 600};
   private static final String[] ENDPOINTS = {"a", "b", "c"};
 
-  /** Longer than any timeout of a request. */
+  /** Longer than the timeout of any request. */
   private static final long LAST_RESPONSE_NANOS = 4 * PER_SECOND;
 
-  /** Longer than endpoints are ejected or in slow start. */
+  /** Longer than an ejection or the slow start of an endpoint. */
   private static final long RECOVERY_NANOS = 120 * PER_SECOND;
 
   private static final List<QuotaPlan> PLANS =
@@ -61,31 +61,31 @@
     return count * PER_MILLI;
   }
 
-  /** Random ends until all is well. */
-  private static final class RandomFates implements VirtualTimeHost.Fates {
+  /** Random ends of attempts and counter calls; successes only if {@code onlySuccesses} is set. */
+  private static final class RandomEnds implements VirtualTimeHost.EndPlan {
     private final SplittableRandom random;
-    private boolean allWell;
+    private boolean onlySuccesses;
 
-    RandomFates(SplittableRandom random) {
+    RandomEnds(SplittableRandom random) {
       this.random = random;
     }
 
     @Override
-    public VirtualTimeHost.Fate ofAttempt() {
-      return fate(ATTEMPT_OUTCOMES, 400);
+    public VirtualTimeHost.PlannedEnd nextAttemptEnd() {
+      return plannedEnd(ATTEMPT_OUTCOMES, 400);
     }
 
     @Override
-    public VirtualTimeHost.Fate ofCounterCall() {
-      return fate(COUNTER_OUTCOMES, 60);
+    public VirtualTimeHost.PlannedEnd nextCounterCallEnd() {
+      return plannedEnd(COUNTER_OUTCOMES, 60);
     }
 
-    private VirtualTimeHost.Fate fate(Outcome[] outcomes, int maxDelayMillis) {
+    private VirtualTimeHost.PlannedEnd plannedEnd(Outcome[] outcomes, int maxDelayMillis) {
       Outcome outcome = outcomes[random.nextInt(outcomes.length)];
       long delayNanos = random.nextLong(millis(maxDelayMillis));
-      return allWell
-          ? new VirtualTimeHost.Fate(Outcome.OK, PER_MILLI)
-          : new VirtualTimeHost.Fate(outcome, delayNanos);
+      return onlySuccesses
+          ? new VirtualTimeHost.PlannedEnd(Outcome.OK, PER_MILLI)
+          : new VirtualTimeHost.PlannedEnd(outcome, delayNanos);
     }
   }
 
@@ -98,62 +98,62 @@
 
   private static void explore(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    RandomFates fates = new RandomFates(random.split());
+    RandomEnds endPlan = new RandomEnds(random.split());
     QuotaPlan plan = PLANS.get(random.nextInt(PLANS.size()));
     boolean counterPresent = random.nextInt(4) > 0;
     VirtualTimeHost host =
         new VirtualTimeHost(
-            TestSettings.gateway(plan, GATEWAYS, 0, counterPresent, false), fates, seed);
+            TestSettings.gateway(plan, GATEWAYS, 0, counterPresent, false), endPlan, seed);
     try {
       long endNanos = scheduleSteps(host, random);
       host.runUntil(endNanos + LAST_RESPONSE_NANOS);
-      host.checkAllOver();
+      host.checkAllEnded();
       if (!host.isDraining()) {
-        checkNothingIsLeaked(host, fates, endNanos + LAST_RESPONSE_NANOS);
+        checkNothingIsLeaked(host, endPlan, endNanos + LAST_RESPONSE_NANOS);
       }
     } catch (AssertionError | RuntimeException e) {
       throw new AssertionError("seed " + seed + ": " + e + "\n" + host.trace(), e);
     }
   }
 
-  /** Schedules all that happens from outside; returns the moment of the last step. */
+  /** Schedules all external events; returns the time of the last one. */
   private static long scheduleSteps(VirtualTimeHost host, SplittableRandom random) {
     List<VirtualTimeHost.Request> requests = new ArrayList<>();
     long atNanos = 0;
     for (int i = 0; i < STEPS; i++) {
-      // Often several steps at one moment.
+      // Often several events have the same time.
       atNanos += random.nextInt(3) == 0 ? 0 : random.nextLong(millis(40));
       int kind = random.nextInt(20);
       if (kind < 9 || requests.isEmpty()) {
-        requests.add(requestAt(host, random, atNanos, "r" + i));
+        requests.add(scheduleRequest(host, random, atNanos, "r" + i));
       } else if (kind < 13) {
-        // One of the last, which may be open.
+        // One of the latest requests, which may be open.
         int back = 1 + random.nextInt(Math.min(3, requests.size()));
         VirtualTimeHost.Request request = requests.get(requests.size() - back);
-        host.at(atNanos, () -> host.disconnect(request));
+        host.schedule(atNanos, () -> host.disconnect(request));
       } else if (kind < 17) {
-        updateEndpointsAt(host, random, atNanos);
+        scheduleEndpointUpdates(host, random, atNanos);
       } else if (kind < 19) {
         long stallNanos = millis(STALLS_MILLIS[random.nextInt(STALLS_MILLIS.length)]);
-        host.at(atNanos, () -> host.stall(stallNanos));
+        host.schedule(atNanos, () -> host.stall(stallNanos));
       } else if (i > STEPS / 2) {
-        host.at(atNanos, host::drain);
+        host.schedule(atNanos, host::drain);
       }
     }
     return atNanos;
   }
 
-  private static VirtualTimeHost.Request requestAt(
+  private static VirtualTimeHost.Request scheduleRequest(
       VirtualTimeHost host, SplittableRandom random, long atNanos, String id) {
     int classIndex = random.nextInt(TestSettings.requestClasses().size());
     long customer = 1 + random.nextInt(3);
     double units = 1 + random.nextInt(3);
     long timeoutNanos = millis(TIMEOUTS_MILLIS[random.nextInt(TIMEOUTS_MILLIS.length)]);
-    return host.requestAt(atNanos, id, classIndex, customer, units, timeoutNanos);
+    return host.scheduleRequest(atNanos, id, classIndex, customer, units, timeoutNanos);
   }
 
-  /** All endpoints, or one of them, change to one state. */
-  private static void updateEndpointsAt(
+  /** Schedules changes of all endpoints, or of one, to the same state. */
+  private static void scheduleEndpointUpdates(
       VirtualTimeHost host, SplittableRandom random, long atNanos) {
     boolean all = random.nextBoolean();
     int only = random.nextInt(ENDPOINTS.length);
@@ -164,48 +164,53 @@
     for (int i = 0; i < ENDPOINTS.length; i++) {
       String id = ENDPOINTS[i];
       if (all || i == only) {
-        host.at(atNanos, () -> host.updateEndpoint(id, state, startsNow));
+        host.schedule(atNanos, () -> host.updateEndpoint(id, state, startsNow));
       }
     }
   }
 
-  /** With all endpoints back, a request is sent at once, as to a new gateway. */
+  /**
+   * Checks that earlier requests leave no state that delays a later one: with all endpoints ready
+   * again, a request is sent immediately, as by a new gateway.
+   */
   private static void checkNothingIsLeaked(
-      VirtualTimeHost host, RandomFates fates, long fromNanos) {
-    fates.allWell = true;
+      VirtualTimeHost host, RandomEnds endPlan, long fromNanos) {
+    endPlan.onlySuccesses = true;
     for (String id : ENDPOINTS) {
-      host.at(fromNanos, () -> host.updateEndpoint(id, EndpointState.READY, false));
+      host.schedule(fromNanos, () -> host.updateEndpoint(id, EndpointState.READY, false));
     }
     long probeNanos = fromNanos + RECOVERY_NANOS;
     VirtualTimeHost.Request probe =
-        host.requestAt(probeNanos, "probe", IDEMPOTENT, 1, 1, millis(2_000));
+        host.scheduleRequest(probeNanos, "probe", IDEMPOTENT, 1, 1, millis(2_000));
     host.runUntil(probeNanos + millis(100));
-    host.checkAllOver();
-    assertEquals(1, probe.attempts(), "attempts of a request when all is well");
+    host.checkAllEnded();
+    assertEquals(
+        1, probe.attempts(), "attempts of a request when all attempts and counter calls succeed");
   }
 
-  /** One of the events whose orders are all tried. */
+  /** The events that are tried in all orders. */
   private enum Step {
     REQUEST,
-    COUNTER_CALL_ENDS,
-    ENDPOINTS_LEAVE,
-    ENDPOINTS_RETURN,
-    ATTEMPT_IS_REJECTED,
-    CLIENT_LEAVES,
+    COUNTER_CALL_ENDED,
+    ENDPOINT_REMOVED,
+    ENDPOINT_READY,
+    ATTEMPT_REJECTED,
+    CLIENT_DISCONNECTED,
     STALL
   }
 
-  /** Attempts and calls end by a step or by their timeouts only. */
-  private static final class NoFates implements VirtualTimeHost.Fates {
-    private static final VirtualTimeHost.Fate TIMEOUT = new VirtualTimeHost.Fate(null, 0);
+  /** Attempts and counter calls end only by a step or by their timeouts. */
+  private static final class TimeoutsOnly implements VirtualTimeHost.EndPlan {
+    private static final VirtualTimeHost.PlannedEnd TIMEOUT =
+        new VirtualTimeHost.PlannedEnd(null, 0);
 
     @Override
-    public VirtualTimeHost.Fate ofAttempt() {
+    public VirtualTimeHost.PlannedEnd nextAttemptEnd() {
       return TIMEOUT;
     }
 
     @Override
-    public VirtualTimeHost.Fate ofCounterCall() {
+    public VirtualTimeHost.PlannedEnd nextCounterCallEnd() {
       return TIMEOUT;
     }
   }
@@ -224,9 +229,9 @@
       return;
     }
     for (Step next : left) {
-      List<Step> nowDone = new ArrayList<>(done);
-      nowDone.add(next);
-      permute(nowDone, left.stream().filter(step -> step != next).toList(), gapMillis);
+      List<Step> extended = new ArrayList<>(done);
+      extended.add(next);
+      permute(extended, left.stream().filter(step -> step != next).toList(), gapMillis);
     }
   }
 
@@ -234,19 +239,19 @@
     VirtualTimeHost host =
         new VirtualTimeHost(
             TestSettings.gateway(TestSettings.quota(20, 5), GATEWAYS, 0, true, false),
-            new NoFates(),
+            new TimeoutsOnly(),
             1);
     try {
       host.updateEndpoint("a", EndpointState.READY, false);
       VirtualTimeHost.Request request =
-          host.requestAt(
+          host.scheduleRequest(
               order.indexOf(Step.REQUEST) * millis(gapMillis), "r", IDEMPOTENT, 1, 1, millis(480));
       for (int i = 0; i < order.size(); i++) {
         Step step = order.get(i);
-        host.at(i * millis(gapMillis), () -> perform(host, request, step));
+        host.schedule(i * millis(gapMillis), () -> perform(host, request, step));
       }
       host.runUntil(LAST_RESPONSE_NANOS);
-      host.checkAllOver();
+      host.checkAllEnded();
     } catch (AssertionError | RuntimeException e) {
       throw new AssertionError(
           order + ", " + gapMillis + " ms apart: " + e + "\n" + host.trace(), e);
@@ -256,13 +261,13 @@
   private static void perform(VirtualTimeHost host, VirtualTimeHost.Request request, Step step) {
     switch (step) {
       case REQUEST -> {
-        // Scheduled with its arrival.
+        // Scheduled by the caller.
       }
-      case COUNTER_CALL_ENDS -> host.endOldestCounterCall(Outcome.OK);
-      case ENDPOINTS_LEAVE -> host.updateEndpoint("a", EndpointState.REMOVED, false);
-      case ENDPOINTS_RETURN -> host.updateEndpoint("a", EndpointState.READY, false);
-      case ATTEMPT_IS_REJECTED -> host.endOldestAttempt(Outcome.REJECTED);
-      case CLIENT_LEAVES -> host.disconnect(request);
+      case COUNTER_CALL_ENDED -> host.endOldestCounterCall(Outcome.OK);
+      case ENDPOINT_REMOVED -> host.updateEndpoint("a", EndpointState.REMOVED, false);
+      case ENDPOINT_READY -> host.updateEndpoint("a", EndpointState.READY, false);
+      case ATTEMPT_REJECTED -> host.endOldestAttempt(Outcome.REJECTED);
+      case CLIENT_DISCONNECTED -> host.disconnect(request);
       case STALL -> host.stall(millis(300));
       default -> throw new IllegalArgumentException(step.toString());
     }
--- a/src/test/java/merlinrouter/node/VirtualEventLoop.java
+++ b/src/test/java/merlinrouter/node/VirtualEventLoop.java
@@ -8,15 +8,15 @@
 import java.util.Random;
 
 /**
- * An event loop of virtual time, in nanoseconds. It runs what is due in the order of time; what has
- * become due during a stall runs in random order.
+ * An event loop in virtual time, in nanoseconds. Events run in the order of their due times; those
+ * that became due during a stall run in random order.
  */
 final class VirtualEventLoop {
   private record Event(long dueNanos, long number, Runnable action) {}
 
   private record Stall(long startNanos, long endNanos) {}
 
-  private final Random shuffling;
+  private final Random shuffleRandom;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           Comparator.comparingLong(Event::dueNanos).thenComparingLong(Event::number));
@@ -26,19 +26,19 @@
 
   VirtualEventLoop(long startNanos, long seed) {
     nowNanos = startNanos;
-    shuffling = new Random(seed);
+    shuffleRandom = new Random(seed);
   }
 
   long nowNanos() {
     return nowNanos;
   }
 
-  /** Runs an action at a moment, or in the first turn after it. */
+  /** Schedules an action; if the event loop is stalled when it is due, it runs in the next turn. */
   void schedule(long dueNanos, Runnable action) {
     events.add(new Event(dueNanos, eventCount++, action));
   }
 
-  /** Runs all that is due up to a moment. */
+  /** Runs all events that are due up to a time. */
   void runUntil(long untilNanos) {
     while (!events.isEmpty() && events.peek().dueNanos <= untilNanos) {
       runTurn();
@@ -55,20 +55,20 @@
       due.add(events.poll());
     }
     if (late) {
-      Collections.shuffle(due, shuffling);
+      Collections.shuffle(due, shuffleRandom);
     }
     due.forEach(event -> event.action.run());
   }
 
-  /** Lets time pass in which nothing runs; called by an action. */
+  /** Advances the time without running any event; must be called by an action. */
   void stall(long nanos) {
     stalls.add(new Stall(nowNanos, nowNanos + nanos));
     nowNanos += nanos;
   }
 
-  /** The moment itself, or the end of the stalls that it is in. */
-  long endOfStalls(long momentNanos) {
-    long endNanos = momentNanos;
+  /** Returns the end of the stalls that a time is within, or the time itself outside of stalls. */
+  long endOfStalls(long atNanos) {
+    long endNanos = atNanos;
     for (Stall stall : stalls) {
       if (stall.startNanos <= endNanos && endNanos < stall.endNanos) {
         endNanos = stall.endNanos;
--- a/src/test/java/merlinrouter/node/VirtualTimeHost.java
+++ b/src/test/java/merlinrouter/node/VirtualTimeHost.java
@@ -18,36 +18,36 @@
 import merlinrouter.settings.GatewaySettings;
 
 /**
- * A gateway with a host of virtual time, which has the duties of {@link GatewayHost} except for its
- * last resort, the timer that fails overdue requests. It checks each action against the rules of
- * the service and records what happens.
+ * Runs a gateway in virtual time, in place of {@link GatewayHost} but without its last resort, the
+ * timer that fails overdue requests. Checks each action against the invariants of the service, and
+ * records a trace of events and actions.
  */
 final class VirtualTimeHost implements GatewayActions {
-  /** The interval of the gateway's timer: a request is given up at a timer. */
+  /** The interval of the gateway's timer, at which expired requests are given up. */
   private static final long TIMER_INTERVAL_NANOS = 10 * PER_MILLI;
 
   private static final long START_NANOS = 1_000 * PER_MILLI;
   private static final long NANOS_PER_MICRO = 1_000;
 
-  /** How an attempt or a call ends; it times out if its outcome is null. */
-  record Fate(Outcome outcome, long delayNanos) {}
+  /** The end of an attempt or a counter call; it times out if the outcome is null. */
+  record PlannedEnd(Outcome outcome, long delayNanos) {}
 
-  /** Decides how attempts and calls to the counter end. */
-  interface Fates {
-    /** The fate of an attempt that starts. */
-    Fate ofAttempt();
+  /** Decides how attempts and counter calls end. */
+  interface EndPlan {
+    /** Returns the end of an attempt that is being started. */
+    PlannedEnd nextAttemptEnd();
 
-    /** The fate of a call to the counter that starts. */
-    Fate ofCounterCall();
+    /** Returns the end of a counter call that is being started. */
+    PlannedEnd nextCounterCallEnd();
   }
 
-  /** A request and what its client has got. */
+  /** A request with the state of its client, its attempts and its response. */
   static final class Request {
     private final String id;
     private final int classIndex;
     private long gatewayDeadlineNanos;
     private boolean delivered;
-    private boolean clientLeft;
+    private boolean clientDisconnected;
     private boolean disconnectDelivered;
     private boolean responded;
     private boolean attemptInFlight;
@@ -63,35 +63,35 @@
       return attempts;
     }
 
-    /** Whether nothing is owed any more and nothing is under way. */
-    private boolean isOver() {
-      return (responded || clientLeft) && !attemptInFlight;
+    /** Returns whether no response is owed any more and no attempt is in flight. */
+    private boolean isEnded() {
+      return (responded || clientDisconnected) && !attemptInFlight;
     }
   }
 
   private final GatewaySettings settings;
-  private final Fates fates;
+  private final EndPlan endPlan;
   private final DeadlineMargin margin = new DeadlineMargin(1);
   private final ShutdownDeadline shutdownDeadline;
   private final VirtualEventLoop loop;
   private final Map<String, Request> requests = new HashMap<>();
   private final Map<String, Endpoint> endpoints = new HashMap<>();
-  private final List<Runnable> openAttempts = new ArrayList<>();
-  private final List<Runnable> openCounterCalls = new ArrayList<>();
+  private final List<Runnable> attemptsInFlight = new ArrayList<>();
+  private final List<Runnable> counterCallsInFlight = new ArrayList<>();
   private final StringBuilder trace = new StringBuilder();
   private final Gateway gateway;
-  private Outcome endOpenWith;
+  private Outcome endOutcome;
   private boolean draining;
 
-  VirtualTimeHost(GatewaySettings settings, Fates fates, long seed) {
+  VirtualTimeHost(GatewaySettings settings, EndPlan endPlan, long seed) {
     this.settings = settings;
-    this.fates = fates;
+    this.endPlan = endPlan;
     loop = new VirtualEventLoop(START_NANOS, seed);
     shutdownDeadline = new ShutdownDeadline(settings.requestClasses());
     gateway = new Gateway(settings, seed, loop.nowNanos(), this);
   }
 
-  /** What has happened, one line for each event and action. */
+  /** Returns the trace, with one line for each event and action. */
   String trace() {
     return trace.toString();
   }
@@ -101,42 +101,45 @@
     trace.append(micros).append(" us: ").append(line).append('\n');
   }
 
-  private void check(boolean holds, String rule) {
+  private void check(boolean holds, String violation) {
     if (!holds) {
-      throw new AssertionError(rule);
+      throw new AssertionError(violation);
     }
   }
 
-  /** Lets something happen at a moment, in nanoseconds from the start, or when a stall ends. */
-  void at(long afterStartNanos, Runnable action) {
+  /**
+   * Schedules an action for a time, in nanoseconds from the start. If the event loop is stalled
+   * then, the action runs when the stall ends.
+   */
+  void schedule(long afterStartNanos, Runnable action) {
     loop.schedule(START_NANOS + afterStartNanos, action);
   }
 
-  /** Runs the event loop up to a moment, in nanoseconds from the start. */
+  /** Runs the event loop up to a time, in nanoseconds from the start. */
   void runUntil(long afterStartNanos) {
     loop.runUntil(START_NANOS + afterStartNanos);
   }
 
-  /** Holds the event loop. */
+  /** Stalls the event loop. */
   void stall(long nanos) {
     record("the event loop stalls for " + nanos / PER_MILLI + " ms");
     loop.stall(nanos);
   }
 
   /**
-   * Lets a client send a request.
+   * Schedules a request of a client.
    *
    * @param atNanos when it arrives, in nanoseconds from the start
    */
-  Request requestAt(
+  Request scheduleRequest(
       long atNanos, String id, int classIndex, long customer, double units, long timeoutNanos) {
     long arrivedNanos = START_NANOS + atNanos;
     Request request = new Request(id, classIndex);
     requests.put(id, request);
-    at(
+    schedule(
         atNanos,
         () -> {
-          if (!request.clientLeft) {
+          if (!request.clientDisconnected) {
             deliver(request, arrivedNanos, timeoutNanos, customer, units);
           }
         });
@@ -163,13 +166,13 @@
             false));
   }
 
-  /** Lets the client of a request leave; the event loop sees it in one of its next turns. */
+  /** Disconnects the client of a request; the event loop detects it in one of its next turns. */
   void disconnect(Request request) {
-    if (request.responded || request.clientLeft) {
+    if (request.responded || request.clientDisconnected) {
       return;
     }
-    record("the client of " + request.id + " leaves");
-    request.clientLeft = true;
+    record("the client of " + request.id + " disconnects");
+    request.clientDisconnected = true;
     loop.schedule(loop.nowNanos(), () -> deliverDisconnect(request));
   }
 
@@ -188,75 +191,79 @@
     gateway.endpointsUpdated(loop.nowNanos(), EndpointUpdateType.DELTA, List.of(endpoint));
   }
 
-  /** Whether a graceful shutdown was started. */
+  /** Returns whether a graceful shutdown has been started. */
   boolean isDraining() {
     return draining;
   }
 
-  /** Starts a graceful shutdown: deadlines of later requests are limited. */
+  /** Starts a graceful shutdown, which limits the deadlines of later requests. */
   void drain() {
     record("drain");
     draining = true;
     shutdownDeadline.shutdownStarted(loop.nowNanos());
   }
 
-  /** Ends the attempt that was started first of those in flight; nothing if there is none. */
+  /** Ends the oldest attempt in flight; no effect if there is none. */
   void endOldestAttempt(Outcome outcome) {
-    endOldest(openAttempts, outcome);
+    endOldest(attemptsInFlight, outcome);
   }
 
-  /** Ends the call to the counter that was made first of those under way. */
+  /** Ends the oldest counter call in flight; no effect if there is none. */
   void endOldestCounterCall(Outcome outcome) {
-    endOldest(openCounterCalls, outcome);
+    endOldest(counterCallsInFlight, outcome);
   }
 
-  private void endOldest(List<Runnable> open, Outcome outcome) {
-    if (!open.isEmpty()) {
-      endOpenWith = outcome;
-      open.get(0).run();
+  private void endOldest(List<Runnable> inFlight, Outcome outcome) {
+    if (!inFlight.isEmpty()) {
+      endOutcome = outcome;
+      inFlight.get(0).run();
     }
   }
 
   @Override
   public void startAttempt(String requestId, String endpointId, long timeoutNanos) {
     Request request = requests.get(requestId);
-    record("attempt of " + requestId + " at " + endpointId);
-    check(!request.responded, "no attempt of " + requestId + " begins after its response");
-    check(!request.disconnectDelivered, "no attempt of " + requestId + " without its client");
-    check(!request.attemptInFlight, "one attempt of " + requestId + " is in flight");
+    record("attempt of " + requestId + " starts at " + endpointId);
+    check(!request.responded, "an attempt of " + requestId + " starts after its response");
+    check(
+        !request.disconnectDelivered,
+        "an attempt of " + requestId + " starts after its client's disconnect");
+    check(
+        !request.attemptInFlight,
+        "an attempt of " + requestId + " starts while another is in flight");
     check(
         endpoints.get(endpointId).state() == EndpointState.READY,
-        "an attempt goes to an endpoint that is ready");
+        "an attempt of " + requestId + " starts at " + endpointId + ", which is not ready");
     check(
         !request.possiblyExecuted
             || settings.requestClasses().get(request.classIndex).idempotency()
                 != Idempotency.NON_IDEMPOTENT,
-        "nothing that is not idempotent is repeated");
+        "request " + requestId + " is retried: it is not idempotent and may have been executed");
     request.attemptInFlight = true;
     long startedNanos = loop.nowNanos();
-    if (request.clientLeft) {
-      // The host reads the client's connection before it sends anything.
+    if (request.clientDisconnected) {
+      // Before it sends an attempt, the host reads the client's connection and detects the close.
       deliverDisconnectLater(request);
       loop.schedule(
           loop.nowNanos(), () -> endAttempt(request, endpointId, startedNanos, Outcome.NOT_SENT));
       return;
     }
     request.attempts++;
-    Fate fate = fates.ofAttempt();
+    PlannedEnd plannedEnd = endPlan.nextAttemptEnd();
     boolean[] ended = {false};
-    Runnable[] endOpen = new Runnable[1];
-    endOpen[0] =
+    Runnable[] end = new Runnable[1];
+    end[0] =
         () -> {
           if (!ended[0]) {
             ended[0] = true;
-            openAttempts.remove(endOpen[0]);
-            endAttempt(request, endpointId, startedNanos, endOpenWith);
+            attemptsInFlight.remove(end[0]);
+            endAttempt(request, endpointId, startedNanos, endOutcome);
           }
         };
-    openAttempts.add(endOpen[0]);
-    scheduleEnd(endOpen[0], Outcome.TIMEOUT, timeoutNanos);
-    if (fate.outcome() != null) {
-      scheduleEnd(endOpen[0], fate.outcome(), fate.delayNanos());
+    attemptsInFlight.add(end[0]);
+    scheduleEnd(end[0], Outcome.TIMEOUT, timeoutNanos);
+    if (plannedEnd.outcome() != null) {
+      scheduleEnd(end[0], plannedEnd.outcome(), plannedEnd.delayNanos());
     }
   }
 
@@ -268,7 +275,7 @@
     loop.schedule(
         loop.nowNanos() + delayNanos,
         () -> {
-          endOpenWith = outcome;
+          endOutcome = outcome;
           end.run();
         });
   }
@@ -277,7 +284,7 @@
     record("attempt of " + request.id + " ends: " + outcome);
     request.attemptInFlight = false;
     request.possiblyExecuted |= !outcome.provesNotExecuted();
-    if (outcome == Outcome.OK && !request.clientLeft) {
+    if (outcome == Outcome.OK && !request.clientDisconnected) {
       respond(request, "served");
     }
     gateway.attemptEnded(
@@ -305,40 +312,50 @@
 
   private void respond(Request request, String response) {
     record("request " + request.id + " is " + response);
-    check(!request.responded, "request " + request.id + " gets one response");
-    check(!request.disconnectDelivered, "no response to " + request.id + " without its client");
-    // What a stall has held back may be given up at the first timer behind it.
+    check(!request.responded, "request " + request.id + " gets a second response");
+    check(
+        !request.disconnectDelivered,
+        "request " + request.id + " gets a response after its client's disconnect");
+    // A request that expires during a stall may be given up at the first timer after the stall.
     long latestNanos =
         loop.endOfStalls(loop.endOfStalls(request.gatewayDeadlineNanos) + TIMER_INTERVAL_NANOS);
-    check(loop.nowNanos() <= latestNanos, "the response to " + request.id + " is in time");
+    check(
+        loop.nowNanos() <= latestNanos,
+        "the response to "
+            + request.id
+            + " is "
+            + (loop.nowNanos() - latestNanos)
+            + " ns too late");
     request.responded = true;
   }
 
-  /** Fails if a request is owed a response, or has an attempt in flight. */
-  void checkAllOver() {
+  /** Fails if any request is owed a response or has an attempt in flight. */
+  void checkAllEnded() {
     for (Request request : requests.values()) {
-      check(request.isOver(), "request " + request.id + " is over");
+      check(
+          request.isEnded(),
+          "request " + request.id + " is owed a response or has an attempt in flight");
     }
   }
 
   @Override
   public void addToCounter(long counterKey, double amount, long timeToLiveNanos) {
-    Fate fate = fates.ofCounterCall();
+    PlannedEnd plannedEnd = endPlan.nextCounterCallEnd();
     boolean[] ended = {false};
-    Runnable[] endOpen = new Runnable[1];
-    endOpen[0] =
+    Runnable[] end = new Runnable[1];
+    end[0] =
         () -> {
           if (!ended[0]) {
             ended[0] = true;
-            openCounterCalls.remove(endOpen[0]);
-            record("counter call ends: " + endOpenWith);
-            gateway.counterCallEnded(loop.nowNanos(), counterKey, endOpenWith, Math.max(0, amount));
+            counterCallsInFlight.remove(end[0]);
+            record("counter call ends: " + endOutcome);
+            gateway.counterCallEnded(loop.nowNanos(), counterKey, endOutcome, Math.max(0, amount));
           }
         };
-    openCounterCalls.add(endOpen[0]);
-    scheduleEnd(endOpen[0], Outcome.TIMEOUT, settings.counter().timeoutNanos());
-    if (fate.outcome() != null) {
-      scheduleEnd(endOpen[0], fate.outcome(), fate.delayNanos());
+    counterCallsInFlight.add(end[0]);
+    scheduleEnd(end[0], Outcome.TIMEOUT, settings.counter().timeoutNanos());
+    if (plannedEnd.outcome() != null) {
+      scheduleEnd(end[0], plannedEnd.outcome(), plannedEnd.delayNanos());
     }
   }
 
