--- a/src/test/java/merlinrouter/node/MalformedResponseTest.java
+++ b/src/test/java/merlinrouter/node/MalformedResponseTest.java
@@ -75,7 +75,7 @@
             "\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nhalf",
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf",
-            "HTTP/1.1 200 OK\r\n\r\nno length",
+            "HTTP/1.1 200 OK\r\n\r\nno end told",
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nhalf",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
