--- a/src/main/java/merlinrouter/node/counter/CounterCall.java
+++ b/src/main/java/merlinrouter/node/counter/CounterCall.java
@@ -3,9 +3,9 @@
 import merlinrouter.model.Outcome;
 
 /**
- * One addition to a counter. Its listener is notified of its end exactly once; after a timeout its
- * response may still be due and keeps its place among the responses of the connection. Used on the
- * event loop only.
+ * A call that adds an amount to a counter. Its listener is notified exactly once, when the call
+ * ends. A call that was written keeps its position in its connection's queue after a timeout, since
+ * its response may still be received. Used on the event loop only.
  */
 final class CounterCall {
   private final long counterKey;
@@ -30,28 +30,28 @@
     return System.nanoTime() - createdAtNanos;
   }
 
-  /** The connection that it was written to; null before that. */
+  /** Returns the connection that the call was passed to for writing; null before that. */
   CounterConnection connection() {
     return connection;
   }
 
-  void attach(CounterConnection to) {
-    connection = to;
+  void attach(CounterConnection newConnection) {
+    connection = newConnection;
   }
 
   boolean isWritten() {
     return written;
   }
 
-  void setWritten(boolean complete) {
-    written = complete;
+  void setWritten(boolean wasWritten) {
+    written = wasWritten;
   }
 
   boolean isEnded() {
     return ended;
   }
 
-  /** Ends it; no effect if it has ended. */
+  /** Ends the call; has no effect if it has ended already. */
   void end(Outcome outcome, double total) {
     if (!ended) {
       ended = true;
@@ -59,7 +59,9 @@
     }
   }
 
-  /** Ends it because its connection is lost: nothing was added if it was not wholly written. */
+  /**
+   * Ends the call because its connection is lost; nothing was added unless it was fully written.
+   */
   void connectionLost() {
     end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
   }
--- a/src/main/java/merlinrouter/node/counter/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -9,9 +9,9 @@
 import merlinrouter.node.transport.Transport;
 
 /**
- * Calls to the shared counter, pipelined on a few connections. A counter's key determines its
- * connection, so that the calls for one counter are executed, and their ends notified, in their
- * order. Used on the event loop only.
+ * Client of the shared counter that pipelines calls on a few connections. A counter's key
+ * determines the connection, so that calls for one counter are executed and end in the order in
+ * which they were started. Used on the event loop only.
  */
 public final class CounterClient {
   private static final int SHARDS = 4;
@@ -25,10 +25,10 @@
   private SocketAddress address;
 
   /**
-   * Creates a client that connects with its first call.
+   * Creates a client that connects when the first call is added.
    *
-   * @param listener is notified of the ends of calls
-   * @param loop the event loop that all runs on
+   * @param listener notified when a call ends
+   * @param loop the event loop that the client runs on
    * @param config the counter's address and the timeouts
    */
   public CounterClient(CounterListener listener, EventLoop loop, NodeConfig config) {
@@ -38,7 +38,8 @@
     callTimeoutNanos = Math.max(MIN_CALL_TIMEOUT_NANOS, config.settings().counter().timeoutNanos());
     long connectTimeoutMillis = TimeUnit.NANOSECONDS.toMillis(config.connectTimeoutNanos());
     bootstrap =
-        // All addresses are of one kind, TCP or Unix; discovery has one in any configuration.
+        // All addresses are of one kind, TCP or Unix. Only discovery's is used here, since the
+        // counter's may be absent.
         Transport.connecting(loop, config.discovery())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMillis));
     for (int i = 0; i < SHARDS; i++) {
@@ -51,12 +52,12 @@
   }
 
   /**
-   * Adds to a counter; the listener is notified of the end of the call, never from within this
-   * method.
+   * Adds an amount to a counter. The listener is notified when the call ends, but never from within
+   * this method.
    *
-   * @param counterKey names the counter
-   * @param amount units to add; negative to take back
-   * @param timeToLiveNanos how long the counter lives from its first addition
+   * @param counterKey key of the counter
+   * @param amount units to add; a negative amount is subtracted
+   * @param timeToLiveNanos how long the counter is kept after the first addition to it
    */
   public void add(long counterKey, double amount, long timeToLiveNanos) {
     String uri = CounterProtocol.additionUri(counterKey, amount, timeToLiveNanos);
@@ -65,8 +66,8 @@
   }
 
   /**
-   * Sends later calls to another address; calls that were written to the earlier one may still be
-   * answered there.
+   * Sends later calls to another address. Calls already written to the previous address may still
+   * receive responses from it.
    */
   public void switchTo(SocketAddress newAddress) {
     if (!newAddress.equals(address)) {
--- a/src/main/java/merlinrouter/node/counter/CounterConnection.java
+++ b/src/main/java/merlinrouter/node/counter/CounterConnection.java
@@ -19,27 +19,30 @@
 import merlinrouter.node.transport.Transport;
 
 /**
- * An HTTP/1.1 connection to the counter with pipelined calls, which are answered in their order.
- * Used on the event loop only.
+ * An HTTP/1.1 connection to the counter with pipelined calls. Responses are received in the order
+ * of the calls. Used on the event loop only.
  */
 final class CounterConnection extends ResponseHandler {
   private static final int MAX_RESPONSE_BYTES = 1024;
 
-  /** After this many call timeouts without a response the connection is assumed dead. */
-  private static final int MAX_SILENT_TIMEOUTS = 10;
+  /**
+   * The connection is assumed dead if its oldest call has no response after this many call
+   * timeouts.
+   */
+  private static final int MAX_TIMEOUTS_WITHOUT_RESPONSE = 10;
 
   private final CounterShard shard;
   private final long callTimeoutNanos;
   private final ResponseDecoder decoder = new ResponseDecoder();
   private final Channel channel;
 
-  /** Calls that were written and whose responses are due, in their order. */
+  /** Calls passed to the channel whose responses are due, oldest first. */
   private final ArrayDeque<CounterCall> pending = new ArrayDeque<>();
 
   private boolean connected;
   private boolean closed;
 
-  /** Begins to connect. */
+  /** Creates a connection and starts to establish it. */
   CounterConnection(
       CounterShard shard,
       EventLoop loop,
@@ -101,21 +104,22 @@
   }
 
   /**
-   * A call of this connection has timed out. The connection is closed if it is silent, if the call
-   * is still to be written and must not be any more, or if a response began, which will not be
-   * completed.
+   * Handles the timeout of a call. Closes the connection if it is assumed dead, if the call has not
+   * been written (it must not be written later), or if part of a response was received (the rest is
+   * assumed lost).
    */
   void callTimedOut(CounterCall call) {
     CounterCall oldest = pending.peek();
-    boolean silent = oldest != null && oldest.ageNanos() > MAX_SILENT_TIMEOUTS * callTimeoutNanos;
-    if (!call.isWritten() || silent || !decoder.isBetweenResponses()) {
+    boolean assumedDead =
+        oldest != null && oldest.ageNanos() > MAX_TIMEOUTS_WITHOUT_RESPONSE * callTimeoutNanos;
+    if (!call.isWritten() || assumedDead || !decoder.isBetweenResponses()) {
       close();
     } else {
       closeIfReplacedAndDone();
     }
   }
 
-  /** A connection that was replaced is kept for the calls that are open on it, and no longer. */
+  /** Closes the connection if another one has replaced it and no call is open on it. */
   void closeIfReplacedAndDone() {
     boolean done = pending.isEmpty() || pending.peekLast().isEnded();
     if (!shard.isCurrent(this) && done) {
@@ -124,7 +128,7 @@
     }
   }
 
-  /** Closes the connection and ends its calls in their order; later calls need another one. */
+  /** Closes the connection and ends its calls in order; later calls need another connection. */
   void close() {
     if (closed) {
       return;
--- a/src/main/java/merlinrouter/node/counter/CounterListener.java
+++ b/src/main/java/merlinrouter/node/counter/CounterListener.java
@@ -1,10 +1,11 @@
 package merlinrouter.node.counter;
 
-/** Is notified of the ends of calls to the counter. */
+/** Receives the results of calls to the counter. */
 public interface CounterListener {
   /**
-   * A call has ended; called on the event loop, exactly once for each call, in the order of the
-   * calls for one counter, and never from within the call that started it.
+   * Handles the end of a call. Invoked on the event loop exactly once for each call, in the order
+   * in which the calls for one counter were started, and never from within {@link
+   * CounterClient#add}.
    */
   void counterCallEnded(CounterResult result);
 }
--- a/src/main/java/merlinrouter/node/counter/CounterProtocol.java
+++ b/src/main/java/merlinrouter/node/counter/CounterProtocol.java
@@ -3,12 +3,12 @@
 import java.math.BigDecimal;
 import java.util.concurrent.TimeUnit;
 
-/** Names on the wire between the node and the counter. */
+/** Names in the HTTP requests that the node sends to the counter. */
 public final class CounterProtocol {
-  /** The host that calls are for. */
+  /** Value of the Host header of every call. */
   static final String HOST = "counter";
 
-  /** Start of the path of every call. */
+  /** Prefix of the path of every call; the counter's key follows. */
   public static final String COUNTER_PATH = "/tally/";
 
   private static final String AMOUNT_PARAMETER = "?n=";
@@ -18,11 +18,12 @@
   private CounterProtocol() {}
 
   /**
-   * Returns the URI of an addition.
+   * Returns the URI of a call that adds an amount to a counter.
    *
-   * @param counterKey names the counter
-   * @param amount units to add; negative to take back
-   * @param timeToLiveNanos how long the counter lives; rounded up to a millisecond
+   * @param counterKey key of the counter
+   * @param amount units to add; a negative amount is subtracted
+   * @param timeToLiveNanos how long the counter is kept; rounded up to whole milliseconds, at least
+   *     1 ms
    */
   static String additionUri(long counterKey, double amount, long timeToLiveNanos) {
     long timeToLiveMillis = (timeToLiveNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
--- a/src/main/java/merlinrouter/node/counter/CounterResponse.java
+++ b/src/main/java/merlinrouter/node/counter/CounterResponse.java
@@ -10,9 +10,9 @@
 /**
  * A complete response of the counter.
  *
- * @param outcome what it means for the call
+ * @param outcome the resulting outcome of the call
  * @param total the counter's total; 0 unless the outcome is {@link Outcome#OK}
- * @param connectionUsable whether the connection may carry further calls
+ * @param connectionUsable whether the connection may be used for further calls
  */
 record CounterResponse(Outcome outcome, double total, boolean connectionUsable) {
   private static final int STATUS_ADDED = 200;
@@ -20,19 +20,22 @@
   private static final int STATUS_NOT_FOUND = 404;
   private static final int STATUS_UNAVAILABLE = 503;
 
-  /** Reads a response; the body stays the caller's. */
+  /** Interprets a response; the body is read but not released. */
   static CounterResponse of(HttpResponse head, ByteBuf body) {
     boolean keepAlive = HttpUtil.isKeepAlive(head);
     return switch (head.status().code()) {
       case STATUS_ADDED -> added(body, keepAlive);
-      // The counter rejects a call before it adds anything.
+      // The counter sends these statuses before it adds anything.
       case STATUS_UNAVAILABLE, STATUS_BAD_REQUEST, STATUS_NOT_FOUND ->
           new CounterResponse(Outcome.REJECTED, 0, keepAlive);
       default -> new CounterResponse(Outcome.RESET, 0, false);
     };
   }
 
-  /** The amount was added. A malformed total leaves it unknown, and the connection is suspect. */
+  /**
+   * Interprets a response of status 200: the amount was added. A malformed total leaves the
+   * counter's total unknown, and the connection is not used further.
+   */
   private static CounterResponse added(ByteBuf body, boolean keepAlive) {
     double total = StrictDecimal.number(body.toString(StandardCharsets.US_ASCII).strip());
     return Double.isNaN(total)
--- a/src/main/java/merlinrouter/node/counter/CounterShard.java
+++ b/src/main/java/merlinrouter/node/counter/CounterShard.java
@@ -6,8 +6,9 @@
 import java.util.function.Function;
 
 /**
- * The calls for a part of the counter keys, and the connection that they are written to. All calls
- * for one key are in one shard, which ends them in their order. Used on the event loop only.
+ * The calls for a subset of the counter keys, and the connection that they are written to. All
+ * calls for one key belong to one shard, which ends them in the order in which they were added.
+ * Used on the event loop only.
  */
 final class CounterShard {
   private static final int MAX_OPEN_CALLS = 256;
@@ -16,7 +17,7 @@
   private final long callTimeoutNanos;
   private final Function<CounterShard, CounterConnection> connector;
 
-  /** Calls that are still to be written. */
+  /** Calls that have not been passed to a connection yet. */
   private final ArrayDeque<CounterCall> waiting = new ArrayDeque<>();
 
   private CounterConnection connection;
@@ -30,11 +31,11 @@
     this.connector = connector;
   }
 
-  /** Starts a call. All calls of one turn of the event loop are flushed together. */
+  /** Starts a call. Calls added in one iteration of the event loop are flushed together. */
   void add(CounterCall call) {
     if (connection != null && waiting.size() + connection.pendingCalls() >= MAX_OPEN_CALLS) {
-      // Too many calls are unanswered: they end in their order, and this one goes to a new
-      // connection.
+      // Too many open calls: closing the connection ends the calls written to it, in order, and the
+      // new call uses another connection.
       connection.close();
     }
     if (connection == null) {
@@ -63,7 +64,7 @@
     }
   }
 
-  /** Replaces the connection; the earlier one is kept for the calls that were written to it. */
+  /** Replaces the connection; the previous one stays open for the calls written to it. */
   void reconnect() {
     if (connection != null) {
       CounterConnection replaced = connection;
@@ -73,8 +74,8 @@
   }
 
   /**
-   * Writes what waits, if that is possible now. Calls end in their order, so none is written while
-   * an earlier one is open on another connection.
+   * Writes the waiting calls if the connection is established. Since calls must end in order, none
+   * is written while an earlier call is open on another connection.
    */
   void writeWaiting() {
     if (connection == null || !connection.isActive() || isOpenElsewhere(lastWritten)) {
@@ -95,7 +96,7 @@
     return connection == candidate;
   }
 
-  /** A connection is about to end its calls: later calls need another one. */
+  /** Stops the use of a connection that is about to end its calls. */
   void detach(CounterConnection closing) {
     if (connection == closing) {
       connection = null;
@@ -103,10 +104,11 @@
   }
 
   /**
-   * A connection has ended its calls; what waits goes to a new one, or ends as well.
+   * Handles a connection that has closed and ended its calls. Waiting calls are written to a new
+   * connection, or end too if the closed one was never established.
    *
-   * @param wasConnected whether the connection was ever made; if not, an immediate retry would only
-   *     fail and be repeated
+   * @param wasConnected whether the connection had been established; if not, an immediate retry
+   *     would only fail again and be repeated
    */
   void connectionClosed(boolean wasConnected) {
     if (connection != null || waiting.isEmpty()) {
--- a/src/main/java/merlinrouter/node/counter/package-info.java
+++ b/src/main/java/merlinrouter/node/counter/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Client of the shared counter that adds up the quota use of all nodes.
+ * Client of the shared counter, which totals the quota use of all nodes.
  *
- * <p>{@link merlinrouter.node.counter.CounterClient} is the entry point. All of it runs on the
- * node's event loop.
+ * <p>{@link merlinrouter.node.counter.CounterClient} is the entry point. Calls are made, and their
+ * results handled, on the node's event loop.
  */
 package merlinrouter.node.counter;
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls to a counter that is late, sends malformed responses or moves. */
+/** Calls to a counter that responds late, sends malformed responses or moves to another address. */
 @Timeout(120)
 class CounterClientTest extends NodeFixture {
   private static final long TIME_TO_LIVE_NANOS = 4_000_000_000L;
@@ -68,11 +68,11 @@
   }
 
   /**
-   * A late response belongs to the call that timed out; assigned to the next call, it would shift
-   * all later totals.
+   * A late response belongs to the call that timed out. If it were assigned to the next call, all
+   * later totals would be shifted by one call.
    */
   @Test
-  void aLateResponseIsSkipped() throws Exception {
+  void aLateResponseIsNotAssignedToTheNextCall() throws Exception {
     CompletableFuture<Void> respond = new CompletableFuture<>();
     counterScript =
         request -> {
@@ -92,9 +92,12 @@
     assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.awaitRequest().startLine());
   }
 
-  /** Otherwise what follows would pass for the next call's response, or would be waited for. */
+  /**
+   * Otherwise later bytes could be taken for the next call's response, or the client could wait for
+   * the rest of the malformed one.
+   */
   @Test
-  void aMalformedResponseReplacesTheConnection() throws Exception {
+  void aConnectionWithAMalformedResponseIsReplaced() throws Exception {
     for (String malformed :
         List.of(
             ScriptedServer.okResponse("", "1d"),
@@ -118,7 +121,10 @@
     }
   }
 
-  /** A response on the new connection ahead of the previous one's would break the order. */
+  /**
+   * If calls were written to the new address while an earlier call is open at the previous one,
+   * they could end before it.
+   */
   @Test
   void aMoveKeepsTheOrderOfACountersCalls() throws Exception {
     CompletableFuture<Void> respond = new CompletableFuture<>();
@@ -130,8 +136,8 @@
     ScriptedServer newCounter = startOkServer("2");
     add(4, 1);
     counter.awaitRequest();
-    NodeConfig moved = configWithCounter(newCounter);
-    loop.submit(() -> client.switchTo(moved.counter())).get();
+    NodeConfig newConfig = configWithCounter(newCounter);
+    loop.submit(() -> client.switchTo(newConfig.counter())).get();
     add(4, 1);
     add(8, 1);
     respond.complete(null);
@@ -144,9 +150,9 @@
     assertTrue(counter.received.isEmpty(), "calls after the move must go to the new address");
   }
 
-  /** Too many calls without a response end in their order, ahead of the call that is added. */
+  /** At the maximum, the open calls end in the order in which they were added. */
   @Test
-  void atTheMaximumOfOpenCallsTheyEndInOrder() throws Exception {
+  void openCallsEndInOrderAtTheirMaximumNumber() throws Exception {
     counterScript = request -> {};
     for (int i = 0; i < 300; i++) {
       add(4L * i, 1);
