--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -21,26 +21,26 @@
 import merlinrouter.node.transport.Transport;
 
 /**
- * Watches the endpoint list, from the last revision received on. By the rules of the service a node
- * counts as notified of a change some time after discovery published it, whether or not a watch was
- * open. A watch that ends, falls silent or gets no response is therefore replaced well within the
- * time that is allowed for draining. Used on the event loop only.
+ * Watches the endpoint list for changes after the last revision received. By the rules of the
+ * service, a node is considered notified of a change some time after discovery published it,
+ * whether or not a watch was open. A watch that ends, falls silent or gets no response is therefore
+ * replaced well within the time that is allowed for draining. Used on the event loop only.
  */
 public final class DiscoveryClient {
   /**
-   * Discovery writes at least every 2 s, and a node counts as notified of what a silent watch
-   * missed 6 s after the silence began.
+   * Discovery writes to a watch at least every 2 s. A node is considered notified of the changes
+   * that a silent watch missed 6 s after the silence began.
    */
   private static final int READ_TIMEOUT_SECONDS = 3;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** Unanswered watches are kept, since each may be answered yet, but at most this many. */
+  /** Watches without a response stay open, since a response may follow, but at most this many. */
   private static final int MAX_UNANSWERED_WATCHES = 4;
 
   private static final long INITIAL_BACKOFF_MILLIS = 100;
 
-  /** Time after the start from which the list known before it is used without discovery. */
+  /** Time after the start from which the node is ready even without an update by discovery. */
   private static final long READY_TIMEOUT_MILLIS = 1_000;
 
   private final EndpointListListener listener;
@@ -49,12 +49,12 @@
   private final WatchTimeouts timeouts;
   private final Bootstrap bootstrap;
 
-  /** Watches without a response, the oldest first. */
+  /** Open watches without a response, the oldest first. */
   private final ArrayDeque<Channel> unanswered = new ArrayDeque<>();
 
   private SocketAddress address;
 
-  /** The watch whose lists are read; null while none has been answered. */
+  /** The watch whose lists are read; null while no open watch has a response. */
   private Channel current;
 
   private Future<?> nextWatch;
@@ -66,9 +66,9 @@
   /**
    * Creates a client that does not connect yet.
    *
-   * @param listener is notified of updates
-   * @param loop the event loop that all runs on
-   * @param config discovery's address, the names in its lists and how lists are delivered
+   * @param listener notified of updates
+   * @param loop the event loop that the client runs on
+   * @param config provides discovery's address, the names in its lists and how lists are delivered
    * @param log counts failures
    */
   public DiscoveryClient(
@@ -102,33 +102,33 @@
   }
 
   /**
-   * Begins to watch.
+   * Opens the first watch.
    *
-   * @param knownRevision revision of the list that is known; watches ask for what came after it
+   * @param knownRevision revision of the list already known; watches request later changes
    */
   public void start(long knownRevision) {
     revision = knownRevision;
-    // A discovery that is down must not keep the node from serving by the list that it has.
+    // An unavailable discovery must not keep the node from serving with the list that it has.
     loop.schedule(() -> ready = true, READY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     openWatch();
   }
 
-  /** Whether an update was received, or has been waited for long enough. */
+  /** Returns whether an update was received or the timeout for the first one has passed. */
   public boolean isReady() {
     return ready;
   }
 
-  /** How many watches were opened so far. */
+  /** Returns how many watches have been opened so far. */
   public int totalWatchCount() {
     return totalWatches;
   }
 
-  /** How many watches are open or being opened. */
+  /** Returns how many watches are open or being opened. */
   public int openWatchCount() {
     return unanswered.size() + (current == null ? 0 : 1);
   }
 
-  /** Watches at another address, from the revision received last on. */
+  /** Replaces all watches with one at another address, for changes after the last revision. */
   public void switchTo(SocketAddress newAddress) {
     if (newAddress.equals(address)) {
       return;
@@ -175,8 +175,8 @@
     if (wasCurrent) {
       current = null;
     }
-    // A watch that is neither was replaced; while others are open the next one is scheduled
-    // already.
+    // A watch that is neither current nor unanswered was replaced. While other unanswered watches
+    // are open, the next one is already scheduled.
     boolean wasUnanswered = unanswered.remove(channel);
     boolean wasLastUnanswered = wasUnanswered && unanswered.isEmpty() && current == null;
     if (wasCurrent || wasLastUnanswered) {
@@ -186,8 +186,8 @@
   }
 
   /**
-   * A response started: an unanswered watch becomes the current one, and the other unanswered ones
-   * are closed. Has no effect on any other watch.
+   * Handles the start of a response: an unanswered watch becomes the current one, and the other
+   * unanswered ones are closed. Has no effect if the watch is not among the unanswered ones.
    */
   void responseStarted(Channel channel) {
     if (unanswered.remove(channel)) {
@@ -199,17 +199,17 @@
     }
   }
 
-  /** Whether lists of this watch are read. */
+  /** Returns whether this is the watch whose lists are read. */
   boolean isCurrent(Channel channel) {
     return channel == current;
   }
 
-  /** The revision received last. */
+  /** Returns the last revision received, or the known one before the first update. */
   long revision() {
     return revision;
   }
 
-  /** The current watch delivered an update. */
+  /** Handles an update received by the current watch. */
   void updateReceived(EndpointList update) {
     listener.endpointsUpdated(
         update, update.complete() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA);
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryProtocol.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryProtocol.java
@@ -1,16 +1,16 @@
 package merlinrouter.node.discovery;
 
-/** Names on the wire between the node and discovery. */
+/** Names in the HTTP requests that the node sends to discovery. */
 public final class DiscoveryProtocol {
-  /** The host that requests are for. */
+  /** Value of the Host header of every request. */
   static final String HOST = "discovery";
 
-  /** Start of the URI of every watch; the revision follows. */
+  /** Prefix of the URI of every watch; the revision follows. */
   public static final String WATCH_URI = "/catalog/members?watch=1&after=";
 
   private DiscoveryProtocol() {}
 
-  /** Returns the URI that watches the endpoint list from a revision on. */
+  /** Returns the URI of a watch for changes of the endpoint list after a revision. */
   static String watchUri(long revision) {
     return WATCH_URI + revision;
   }
--- a/src/main/java/merlinrouter/node/discovery/EndpointListFramer.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointListFramer.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.json.JsonObjectDecoder;
 
-/** Finds the end of each endpoint list, which may be on one line or indented over many. */
+/** Splits the content of a watch into endpoint lists, each on one line or on several. */
 final class EndpointListFramer extends JsonObjectDecoder {
   private static final int MAX_LIST_BYTES = 1 << 20;
 
@@ -10,7 +10,7 @@
     super(MAX_LIST_BYTES);
   }
 
-  /** Whether no list has begun that is not complete. */
+  /** Returns whether no endpoint list has been received in part. */
   boolean isBetweenLists() {
     return actualReadableBytes() == 0;
   }
--- a/src/main/java/merlinrouter/node/discovery/EndpointListHandler.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointListHandler.java
@@ -8,7 +8,7 @@
 import merlinrouter.node.config.InvalidConfigException;
 import merlinrouter.node.config.SettingNames;
 
-/** Reads each complete endpoint list of a watch. */
+/** Parses each complete endpoint list of the current watch and passes it to the client. */
 final class EndpointListHandler extends SimpleChannelInboundHandler<ByteBuf> {
   private final DiscoveryClient client;
   private final SettingNames names;
--- a/src/main/java/merlinrouter/node/discovery/EndpointListListener.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointListListener.java
@@ -3,13 +3,13 @@
 import merlinrouter.model.EndpointUpdateType;
 import merlinrouter.node.config.EndpointList;
 
-/** Is notified of the endpoint list and of changes to it. */
+/** Receives the endpoint list and changes to it. */
 public interface EndpointListListener {
   /**
-   * An update of the endpoint list arrived; called on the event loop.
+   * Handles an update of the endpoint list. Invoked on the event loop.
    *
    * @param update the list, or its changed entries
-   * @param type what the update holds
+   * @param type whether the update is the whole list or only changed entries
    */
   void endpointsUpdated(EndpointList update, EndpointUpdateType type);
 }
--- a/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
@@ -8,20 +8,20 @@
 import merlinrouter.node.logging.NodeLog;
 
 /**
- * Converts the wall-clock times at which endpoints started into moments of the node's monotonic
- * clock. Each time is converted only when it is first reported, so that a step of the wall clock
- * does not change an endpoint's age. After a recent step it is unknown on which side of the step a
- * start was read: the younger age counts, since an endpoint that is taken for too young only gets
- * fewer requests for a while. Used on the event loop only.
+ * Converts the wall-clock times at which endpoints started to the node's monotonic clock. Each time
+ * is converted only when it is first reported, so that a step of the wall clock does not change an
+ * endpoint's age. After a recent step it is unknown whether a start time was read before or after
+ * the step. The younger of the possible ages is then used, since an endpoint whose age is
+ * underestimated only gets fewer requests for a while. Used on the event loop only.
  */
 public final class EndpointStartTimes {
   /**
-   * A smaller difference between two observations is the slewing of a synchronized clock and no
-   * step.
+   * Minimum change of the clock offset that is taken for a step. A smaller change is the slewing of
+   * a synchronized clock.
    */
   private static final long MIN_STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** The wall clock minus the monotonic clock, and when that was last observed. */
+  /** The wall clock minus the monotonic clock, and when this offset was last observed. */
   private static final class ClockOffset {
     private final long offsetNanos;
     private long lastObservedNanos;
@@ -37,23 +37,26 @@
   private final long stepRelevanceNanos;
   private final NodeLog log;
 
-  /** The offsets that may still matter, the latest last. */
+  /** The offsets that may apply to newly reported start times, the latest last. */
   private final ArrayDeque<ClockOffset> offsets = new ArrayDeque<>();
 
   private final Map<String, StartTime> startTimes = new HashMap<>();
 
   /**
-   * Creates a converter that knows no endpoint.
+   * Creates a converter without any start times.
    *
-   * @param stepRelevanceNanos how long a step may matter: the duration of a slow start
-   * @param log counts the steps of the wall clock
+   * @param stepRelevanceNanos how long a step affects conversions: the duration of a slow start
+   * @param log the log that counts steps of the wall clock
    */
   public EndpointStartTimes(long stepRelevanceNanos, NodeLog log) {
     this.stepRelevanceNanos = stepRelevanceNanos;
     this.log = log;
   }
 
-  /** Compares both clocks, read in nanoseconds; called often enough to notice a step soon. */
+  /**
+   * Compares readings of both clocks to detect steps of the wall clock. Must be called
+   * periodically, so that a step is detected soon.
+   */
   public void observeClocks(long monotonicNanos, long wallNanos) {
     long offsetNanos = wallNanos - monotonicNanos;
     ClockOffset latest = offsets.peekLast();
@@ -72,12 +75,12 @@
   }
 
   /**
-   * Returns the moment of the monotonic clock at which an endpoint started, at least 1; 0 for long
-   * ago.
+   * Returns the time on the monotonic clock at which an endpoint started: at least 1, or 0 if it
+   * started long ago.
    *
-   * @param endpointId the endpoint
-   * @param wallNanos the wall-clock time of its start as discovery reports it; 0 for long ago
-   * @param nowNanos the monotonic clock; {@link #observeClocks} was called for it
+   * @param endpointId id of the endpoint
+   * @param wallNanos wall-clock time of its start as reported by discovery; 0 for long ago
+   * @param nowNanos current time on the monotonic clock, already passed to {@link #observeClocks}
    */
   public long toMonotonicNanos(String endpointId, long wallNanos, long nowNanos) {
     if (wallNanos <= 0) {
@@ -97,12 +100,12 @@
     return monotonicNanos;
   }
 
-  /** Forgets endpoints that the list does not name any more. */
+  /** Removes the start times of all endpoints except those given. */
   public void retain(Set<String> endpointIds) {
     startTimes.keySet().retainAll(endpointIds);
   }
 
-  /** Forgets an endpoint that was removed. */
+  /** Removes the start time of an endpoint that has been removed from the list. */
   public void forget(String endpointId) {
     startTimes.remove(endpointId);
   }
--- a/src/main/java/merlinrouter/node/discovery/WatchFailure.java
+++ b/src/main/java/merlinrouter/node/discovery/WatchFailure.java
@@ -6,13 +6,14 @@
 import merlinrouter.node.config.InvalidConfigException;
 import merlinrouter.node.logging.ErrorLog;
 
-/** Ends a watch because of an error. */
+/** Closes a watch after an error. */
 final class WatchFailure {
   private WatchFailure() {}
 
   /**
-   * Reports an error and closes the watch. A silence is not reported: it is usual while discovery
-   * is down. Neither is the text that could not be decoded: it may have a megabyte.
+   * Reports an error and closes the watch. A read timeout is not reported, since timeouts are usual
+   * while discovery is down. The report of a decoding error omits the text that could not be
+   * decoded, which may be a megabyte long.
    */
   static void closeAfter(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof ReadTimeoutException) && context.channel().isOpen()) {
@@ -20,7 +21,10 @@
           cause instanceof DecoderException
               && !(cause.getCause() instanceof InvalidConfigException);
       ErrorLog.report(
-          "discovery", undecodable ? new InvalidConfigException("malformed endpoint list") : cause);
+          "discovery",
+          undecodable
+              ? new InvalidConfigException("the endpoint list is malformed or too long")
+              : cause);
     }
     context.close();
   }
--- a/src/main/java/merlinrouter/node/discovery/WatchHandler.java
+++ b/src/main/java/merlinrouter/node/discovery/WatchHandler.java
@@ -14,11 +14,14 @@
 import java.util.concurrent.TimeUnit;
 import merlinrouter.node.config.InvalidConfigException;
 
-/** The HTTP side of a watch: one request, and a chunked response that stays open. */
+/**
+ * The HTTP exchange of a watch: sends one request and passes on the content of its chunked
+ * response, which stays open.
+ */
 final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
   /**
-   * A list is written in one go: one that began and is not complete after this long was cut short.
-   * Half of the second that draining allows.
+   * Discovery writes a list in one piece, so a list that is still incomplete after this time was
+   * cut short. Half of the 1 s that is allowed for draining.
    */
   private static final long LIST_COMPLETION_TIMEOUT_MILLIS = 500;
 
@@ -45,7 +48,8 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-    // What was read goes on arriving after a close, and the body of an error is no list.
+    // Parts that were read before a close are still delivered after it, and the body of an error
+    // response is not an endpoint list.
     ended |= part.decoderResult().isFailure() || isErrorHead(part);
     if (!ended) {
       client.responseStarted(context.channel());
@@ -67,7 +71,10 @@
     return part instanceof HttpResponse response && response.status().code() != STATUS_OK;
   }
 
-  /** Closes the watch if a list stays incomplete: later lists would be parsed as its rest. */
+  /**
+   * Starts or cancels the timeout after which the watch is closed because a list stays incomplete:
+   * later lists would be parsed as the rest of it.
+   */
   private void updateCompletionTimeout(ChannelHandlerContext context) {
     if (framer.isBetweenLists() && completionTimeout != null) {
       completionTimeout.cancel(false);
@@ -80,7 +87,11 @@
               .schedule(
                   () ->
                       WatchFailure.closeAfter(
-                          context, new InvalidConfigException("the endpoint list was cut short")),
+                          context,
+                          new InvalidConfigException(
+                              "the endpoint list is still incomplete after "
+                                  + LIST_COMPLETION_TIMEOUT_MILLIS
+                                  + " ms")),
                   LIST_COMPLETION_TIMEOUT_MILLIS,
                   TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/merlinrouter/node/discovery/WatchTimeouts.java
+++ b/src/main/java/merlinrouter/node/discovery/WatchTimeouts.java
@@ -1,28 +1,28 @@
 package merlinrouter.node.discovery;
 
 /**
- * How soon watches are replaced.
+ * Delays after which a watch is replaced, or another one is opened beside it.
  *
- * @param maxBackoffMillis maximum pause after a watch that ended
- * @param responseTimeoutMillis time after which a watch without a response has another one opened
- *     beside it
+ * @param maxBackoffMillis maximum delay between the end of a watch and the next one
+ * @param responseTimeoutMillis time after which another watch is opened beside one without a
+ *     response
  */
 record WatchTimeouts(long maxBackoffMillis, long responseTimeoutMillis) {
   /**
-   * A local agent pushes the list; it responds at once, and watches cost nothing. After its restart
-   * a change has to be received within the second that is allowed for draining; half of that is
-   * left for the response.
+   * For a list that a local agent pushes. The agent responds immediately, and watches do not load
+   * it. After a restart of the agent, a change must be received within the 1 s that is allowed for
+   * draining; half of that is left for the response.
    */
   private static final WatchTimeouts PUSHED = new WatchTimeouts(250, 500);
 
   /**
-   * Watches load a discovery that has to be polled, so they are opened less often. A change has to
-   * be received within 6 s: after 3 s of silence, a pause and a call without a response there is
-   * time for another call.
+   * For a list that must be polled. Watches load discovery, so they are opened less often. A change
+   * must be received within 6 s: after 3 s of silence, a backoff and a watch without a response,
+   * there is time for another watch.
    */
   private static final WatchTimeouts POLLED = new WatchTimeouts(500, 1_000);
 
-  /** Returns the timeouts for a list that must be subscribed to, or for one that is pushed. */
+  /** Returns the timeouts for a list that must be subscribed to or for one that is pushed. */
   static WatchTimeouts of(boolean endpointSubscription) {
     return endpointSubscription ? POLLED : PUSHED;
   }
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Watches that end, fall silent, get no response or are cut short. Where a duration matters it is
- * compared with another timer of the node's own event loop: these fire in the order of their
- * deadlines, however slow the machine is.
+ * Watches that end, fall silent, get no response or are cut short. Durations are compared with a
+ * timer on the node's own event loop: its timers fire in the order of their deadlines, however slow
+ * the machine is.
  */
 @Timeout(120)
 class DiscoveryWatchTest extends NodeFixture {
-  /** Waits until a request is served, by an endpoint that only the watch can have listed. */
+  /** Waits until a request is served, which needs an endpoint that only the watch lists. */
   private void awaitServed(EdgeNode node) throws Exception {
     Socket client = connect(node);
     String status = "";
@@ -27,7 +27,7 @@
     }
   }
 
-  /** What a silent watch misses counts as delivered 6 s after it fell silent. */
+  /** Updates that a silent watch misses count as delivered 6 s after the start of the silence. */
   @Test
   void aSilentWatchIsReplacedBeforeMissedUpdatesCountAsDelivered() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -56,19 +56,19 @@
   }
 
   /**
-   * Otherwise a list that comes when discovery is back waits for the timeout of the watch without a
-   * response.
+   * With a single watch, a list sent after discovery has recovered would be received only after the
+   * timeout of the watch without a response.
    */
   @Test
   void anotherWatchIsOpenedBesideAnUnansweredOne() throws Exception {
     ScriptedServer server = startOkServer("x");
     AtomicInteger watches = new AtomicInteger();
-    CompletableFuture<Void> discoveryBack = new CompletableFuture<>();
+    CompletableFuture<Void> discoveryRecovered = new CompletableFuture<>();
     discovery =
         startServer(
             request -> {
               if (watches.getAndIncrement() > 0) {
-                discoveryBack.join();
+                discoveryRecovered.join();
                 request.respond(
                     watchResponse(updateJson(6, readyEndpointJson("s-1", server.address()))));
               }
@@ -77,17 +77,21 @@
     discovery.awaitRequest();
     discovery.awaitRequest();
     assertTrue(
-        discovery.endedConnections.isEmpty(), "the watch without a response may get one yet");
-    discoveryBack.complete(null);
+        discovery.endedConnections.isEmpty(),
+        "the watch without a response was closed, though a response may follow");
+    discoveryRecovered.complete(null);
     awaitServed(node);
     discovery.endedConnections.take();
     assertEquals(
         1,
         node.loop().submit(() -> node.discovery().openWatchCount()).get(),
-        "only the watch with a response stays open");
+        "open watches; only the one with a response must stay open");
   }
 
-  /** The backoff must stay below the second that draining allows: the agent responds at once. */
+  /**
+   * The backoff must stay below the 1 s that is allowed for draining, since the agent responds
+   * immediately.
+   */
   @Test
   void afterManyFailuresAWatchIsReopenedWithinTheDrainingSecond() throws Exception {
     discovery = startServer(request -> request.connection().close());
@@ -116,13 +120,12 @@
             .schedule(
                 () -> node.discovery().totalWatchCount() > openedBefore[0], 1, TimeUnit.SECONDS)
             .get(),
-        "no watch was opened for a second");
+        "no watch was opened within 1 s");
   }
 
   /**
-   * Where the list must be subscribed to, too, an update counts as delivered 6 s after discovery
-   * had it: here a watch falls silent after some that ended, and the next one never gets a
-   * response.
+   * An update counts as delivered 6 s after discovery published it, also where the list must be
+   * subscribed to. Here six watches end, one falls silent, and the next one gets no response.
    */
   @Test
   void aSubscribedListIsPolledWithin6SecondsThoughWatchesFailAndFallSilent() throws Exception {
@@ -151,7 +154,7 @@
         node.loop()
             .schedule(() -> node.discovery().totalWatchCount() > 8, 6, TimeUnit.SECONDS)
             .get(),
-        "6 s after the silence began the list had not been polled twice");
+        "the list was not polled twice within 6 s of the start of the silence");
     awaitServed(node);
   }
 
@@ -172,12 +175,12 @@
                         + ScriptedServer.chunk(list.substring(20))));
     EdgeNode node = startNode(configJson());
     awaitServed(node);
-    assertEquals(1, discovery.received.size(), "the watch was closed because of it");
+    assertEquals(1, discovery.received.size(), "the watch was closed because of the indented list");
   }
 
   /**
-   * The lines behind an incomplete list would pass for its rest, or for a sign that the watch is
-   * alive.
+   * Otherwise lines after an incomplete list would be taken for the rest of it, or would keep the
+   * read timeout from closing the watch.
    */
   @Test
   void anIncompleteOrMalformedListIsPolledAgainAndThePreviousOneStays() throws Exception {
@@ -204,7 +207,10 @@
     }
   }
 
-  /** The watch is not silent, since lines keep coming, all of which pass for the list's rest. */
+  /**
+   * The read timeout does not close the watch, since it keeps receiving lines, all of which are
+   * parsed as the rest of the list.
+   */
   @Test
   void anIncompleteListFollowedByMoreLinesIsPolledAgain() throws Exception {
     discovery =
@@ -224,17 +230,17 @@
     assertTrue(discovery.awaitRequest().startLine().contains("after=5"));
   }
 
-  /** After a move the previous watch is not read: its lists may be older than the new one's. */
+  /** The previous watch must not be read after a move, since its lists may be outdated. */
   @Test
   void afterAMoveOnlyTheNewWatchIsRead() throws Exception {
     ScriptedServer removed = startOkServer("removed");
     ScriptedServer added = startOkServer("added");
-    CompletableFuture<ScriptedServer.Message> opened = new CompletableFuture<>();
+    CompletableFuture<ScriptedServer.Message> previousWatch = new CompletableFuture<>();
     discovery =
         startServer(
             request -> {
               request.respond(UNCHANGED_LIST);
-              opened.complete(request);
+              previousWatch.complete(request);
             });
     String config = configJson(readyEndpointJson("s-0", removed.address()));
     EdgeNode node = startNode(config);
@@ -247,7 +253,7 @@
                             9,
                             endpointJson("s-0", removed.address(), "Gone", 0),
                             readyEndpointJson("s-1", added.address())))));
-    ScriptedServer.Message watch = opened.get();
+    ScriptedServer.Message watch = previousWatch.get();
     node.loop()
         .submit(
             () -> {
--- a/src/test/java/merlinrouter/node/EndpointListTest.java
+++ b/src/test/java/merlinrouter/node/EndpointListTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How a node follows the endpoint lists and updates of discovery. */
+/** How a node applies the endpoint lists and updates that discovery sends. */
 @Timeout(120)
 class EndpointListTest extends NodeFixture {
   @Test
@@ -37,13 +37,16 @@
     proceed.complete(null);
     assertTrue(discovery.awaitRequest().startLine().contains("watch=1&after=5"));
     assertTrue(discovery.awaitRequest().startLine().contains("watch=1&after=8"));
-    // The endpoint restarted elsewhere: the connection to its old address closes.
+    // The endpoint has restarted at another address: the connection to the old one is closed.
     assertNotNull(old.endedConnections.poll(60, TimeUnit.SECONDS));
     writeKeyedRequest(client, "t-2");
     assertEquals("new", ScriptedServer.readMessage(client).body());
   }
 
-  /** Under its predecessor's id, a new endpoint would get requests after it announced its drain. */
+  /**
+   * If the address still belonged to the previous endpoint's id too, the new endpoint would get
+   * requests under that id after it has announced its drain.
+   */
   @Test
   void addressBelongsToTheEndpointThatStartedThereLast() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -73,7 +76,7 @@
       proceed.get(i).complete(null);
       assertNotNull(
           server.endedConnections.poll(60, TimeUnit.SECONDS),
-          "connections to a former endpoint must close");
+          "connections to the previous endpoint must be closed");
     }
     Socket client = connect(node);
     writeRequest(client, "POST /api", requestHeaders("t-2", "order", "1500"), "");
@@ -82,11 +85,11 @@
     double retryAfter = Double.parseDouble(rejection.headers().get("retry-after"));
     assertTrue(
         retryAfter > 0 && retryAfter <= 0.5,
-        "Retry-After must be there, and no longer than a client waits");
+        "Retry-After must be above 0 s and at most the 0.5 s that a client waits");
     assertTrue(server.received.isEmpty());
   }
 
-  /** A close does not stop the decoding of bytes that were read already. */
+  /** Closing a watch does not stop the decoding of bytes that were already read. */
   @Test
   void errorResponseOfDiscoveryIsNotAnEndpointList() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -100,7 +103,7 @@
     discovery.awaitRequest();
     assertTrue(
         discovery.awaitRequest().startLine().contains("after=5"),
-        "the revision of an error's body was used");
+        "the revision in the body of an error response was used");
     assertEquals("200", requestStatus(connect(node), "t-1"));
   }
 }
--- a/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
+++ b/src/test/java/merlinrouter/node/discovery/EndpointStartTimesTest.java
@@ -5,7 +5,7 @@
 import merlinrouter.node.logging.NodeLog;
 import org.junit.jupiter.api.Test;
 
-/** Start times on the monotonic clock; all helper arguments and results are in seconds. */
+/** Conversion of start times to the monotonic clock; {@link #convert} works in seconds. */
 class EndpointStartTimesTest {
   private static final long SECOND_NANOS = 1_000_000_000L;
   private static final long SLOW_START_NANOS = 10 * SECOND_NANOS;
@@ -33,13 +33,13 @@
   }
 
   @Test
-  void aStartInTheFutureAfterAStepBackIsNow() {
+  void aStartTimeInTheFutureAfterAStepBackIsConvertedToNow() {
     times.observeClocks(100 * SECOND_NANOS, 5_000 * SECOND_NANOS);
     assertEquals(104, convert(104, 1_404, 5_003));
   }
 
   @Test
-  void aStepIsForgottenAfterTheDurationOfASlowStart() {
+  void aStepIsIgnoredAfterTheDurationOfASlowStart() {
     times.observeClocks(10_000 * SECOND_NANOS, 5_000 * SECOND_NANOS);
     times.observeClocks(10_001 * SECOND_NANOS, 8_601 * SECOND_NANOS);
     assertEquals(10_018, convert(10_020, 8_620, 8_618));
