--- a/src/main/java/merlinrouter/node/config/EndpointEntry.java
+++ b/src/main/java/merlinrouter/node/config/EndpointEntry.java
@@ -4,9 +4,9 @@
 import merlinrouter.model.Endpoint;
 
 /**
- * An endpoint and where this node reaches it.
+ * An endpoint and its address.
  *
- * @param endpoint its description by discovery
- * @param address where it listens
+ * @param endpoint the endpoint as described by discovery
+ * @param address the address at which the endpoint listens
  */
 public record EndpointEntry(Endpoint endpoint, SocketAddress address) {}
--- a/src/main/java/merlinrouter/node/config/EndpointListKeys.java
+++ b/src/main/java/merlinrouter/node/config/EndpointListKeys.java
@@ -1,6 +1,6 @@
 package merlinrouter.node.config;
 
-/** Names of the keys and values in an endpoint list, as discovery and the file write them. */
+/** Keys and values in an endpoint list, as written by discovery and in the configuration file. */
 final class EndpointListKeys {
   static final String REVISION = "revision";
   static final String COMPLETE = "complete";
@@ -14,7 +14,7 @@
   static final String CELL = "cell";
   static final String MACHINE_TYPE = "flavor";
 
-  /** Wall-clock time of the endpoint's start in milliseconds since the epoch; 0 for long ago. */
+  /** Wall-clock time of the endpoint's start, in milliseconds since the epoch; 0 for long ago. */
   static final String STARTED_AT_MILLIS = "up_since_ms";
 
   static final String READY = "Ready";
--- a/src/main/java/merlinrouter/node/config/EndpointListReader.java
+++ b/src/main/java/merlinrouter/node/config/EndpointListReader.java
@@ -7,16 +7,16 @@
 import merlinrouter.model.Endpoint;
 import merlinrouter.model.EndpointState;
 
-/** Reads endpoint lists. */
+/** Reads endpoint lists, which are JSON. */
 public final class EndpointListReader {
   private EndpointListReader() {}
 
   /**
-   * Reads one message of discovery.
+   * Reads an endpoint list sent by discovery.
    *
-   * @param text the message, in JSON
-   * @param names names in the settings, which the list refers to
-   * @throws InvalidConfigException if the message is no endpoint list
+   * @param text the list, in JSON
+   * @param names names in the settings that the list refers to
+   * @throws InvalidConfigException if the text is not an endpoint list
    */
   public static EndpointList parse(String text, SettingNames names) throws InvalidConfigException {
     return read(JsonFields.parse(text, "the endpoint list"), names);
@@ -25,7 +25,12 @@
   static EndpointList read(JsonNode node, SettingNames names) throws InvalidConfigException {
     if (!JsonFields.required(node, EndpointListKeys.ENTRIES).isArray()
         || !JsonFields.required(node, EndpointListKeys.REVISION).isIntegralNumber()) {
-      throw new InvalidConfigException("an endpoint list without revision or members");
+      throw new InvalidConfigException(
+          "the endpoint list is invalid: "
+              + EndpointListKeys.ENTRIES
+              + " is not an array, or "
+              + EndpointListKeys.REVISION
+              + " is not an integer");
     }
     List<EndpointEntry> entries = new ArrayList<>();
     for (JsonNode entry : node.get(EndpointListKeys.ENTRIES)) {
@@ -59,7 +64,7 @@
     return switch (text) {
       case EndpointListKeys.READY -> EndpointState.READY;
       case EndpointListKeys.REMOVED -> EndpointState.REMOVED;
-      // Also for an unknown state: no new requests, those in flight may end.
+      // Also for an unknown state: no new requests are sent, those in flight may be completed.
       default -> EndpointState.DRAINING;
     };
   }
--- a/src/main/java/merlinrouter/node/config/JsonFields.java
+++ b/src/main/java/merlinrouter/node/config/JsonFields.java
@@ -5,18 +5,18 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
 
-/** Reads JSON text and the fields that both the file and the endpoint list need. */
+/** Parses JSON text and reads fields of the configuration file and of endpoint lists. */
 final class JsonFields {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private JsonFields() {}
 
   /**
-   * Reads a text.
+   * Parses JSON text.
    *
    * @param text the JSON text
-   * @param source what it is, for the message
-   * @throws InvalidConfigException if it is not JSON
+   * @param source what the text is, for the error message
+   * @throws InvalidConfigException if the text is not JSON
    */
   static JsonNode parse(String text, String source) throws InvalidConfigException {
     try {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Returns the value of a key; fails where the key is missing or its value is null. */
+  /** Returns the value of a key, which must be present and not null. */
   static JsonNode required(JsonNode node, String key) throws InvalidConfigException {
     if (!node.hasNonNull(key)) {
       throw new InvalidConfigException(key + " is missing");
@@ -35,7 +35,7 @@
     return node.get(key);
   }
 
-  /** Returns the address that a key has as {@code host:port}. */
+  /** Returns the address that the value of a key gives as {@code host:port}. */
   static InetSocketAddress address(JsonNode node, String key) throws InvalidConfigException {
     String text = required(node, key).asText();
     int colon = text.lastIndexOf(':');
--- a/src/main/java/merlinrouter/node/config/NodeConfigKeys.java
+++ b/src/main/java/merlinrouter/node/config/NodeConfigKeys.java
@@ -1,7 +1,7 @@
 package merlinrouter.node.config;
 
 /**
- * Names of the keys in the configuration file; those of the object {@link #SETTINGS} are in {@link
+ * Keys in the configuration file. The keys inside the object {@link #SETTINGS} are in {@link
  * merlinrouter.settings.SettingKeys}.
  */
 final class NodeConfigKeys {
--- a/src/main/java/merlinrouter/node/config/NodeConfigReader.java
+++ b/src/main/java/merlinrouter/node/config/NodeConfigReader.java
@@ -13,17 +13,17 @@
 import merlinrouter.settings.SettingKeys;
 import merlinrouter.settings.SettingsReader;
 
-/** Reads a node's configuration, which is JSON. */
+/** Reads and checks the configuration of a node, which is JSON. */
 public final class NodeConfigReader {
   private static final int DEFAULT_MAX_SOCKETS = 256;
   private static final long DEFAULT_MEMORY_MEBIBYTES = 64;
   private static final int MEBIBYTE_SHIFT = 20;
-  private static final int HEXADECIMAL = 16;
+  private static final int SEED_RADIX = 16;
 
-  /** A JVM cannot serve with less. */
+  /** Smaller values are raised to this one: a JVM cannot serve with less. */
   private static final double MIN_CORES = 0.05;
 
-  /** The only event loop cannot use more. */
+  /** Larger values are lowered to this one: the only event loop cannot use more. */
   private static final double MAX_CORES = 1;
 
   private static final List<String> REQUIRED_NUMBERS =
@@ -62,7 +62,7 @@
 
   private final JsonNode root;
 
-  /** The settings as {@link SettingsReader} takes them: nested keys joined by dots. */
+  /** The settings in the form that {@link SettingsReader} reads: nested keys are joined by dots. */
   private final Map<String, String> settings = new HashMap<>();
 
   private NodeConfigReader(JsonNode root) throws InvalidConfigException {
@@ -71,10 +71,10 @@
   }
 
   /**
-   * Reads a configuration file once.
+   * Reads a configuration file, without retries.
    *
-   * @throws UnreadableConfigException if the file cannot be read now
-   * @throws InvalidConfigException if what it holds cannot be used
+   * @throws UnreadableConfigException if the file cannot be read
+   * @throws InvalidConfigException if its content is invalid
    */
   static NodeConfig read(Path file) throws InvalidConfigException, UnreadableConfigException {
     String text;
@@ -82,7 +82,7 @@
       text = Files.readString(file);
     } catch (IOException e) {
       throw new UnreadableConfigException(
-          "the configuration " + file + " cannot be read: " + e.getMessage());
+          "the configuration file " + file + " cannot be read: " + e);
     }
     return parse(text);
   }
@@ -90,7 +90,7 @@
   /**
    * Reads a configuration.
    *
-   * @throws InvalidConfigException if it cannot be used
+   * @throws InvalidConfigException if the text is not JSON, a key is missing or a value is invalid
    */
   public static NodeConfig parse(String text) throws InvalidConfigException {
     return new NodeConfigReader(JsonFields.parse(text, "the configuration")).read();
@@ -159,7 +159,13 @@
   private void checkIdempotency(String key) throws InvalidConfigException {
     if (!IDEMPOTENCY_VALUES.contains(settings.getOrDefault(key, ""))) {
       throw new InvalidConfigException(
-          "settings." + key + " is none of " + String.join(", ", IDEMPOTENCY_VALUES));
+          "settings."
+              + key
+              + " is not one of "
+              + String.join(", ", IDEMPOTENCY_VALUES)
+              + ": '"
+              + settings.getOrDefault(key, "")
+              + "'");
     }
   }
 
@@ -188,14 +194,14 @@
 
   private static long seed(JsonNode node) throws InvalidConfigException {
     try {
-      return node.isTextual() ? Long.parseUnsignedLong(node.asText(), HEXADECIMAL) : node.asLong();
+      return node.isTextual() ? Long.parseUnsignedLong(node.asText(), SEED_RADIX) : node.asLong();
     } catch (NumberFormatException e) {
       throw new InvalidConfigException(
-          NodeConfigKeys.SEED + " is not a hexadecimal number of 64 bits");
+          NodeConfigKeys.SEED + " is not a hexadecimal number of up to 64 bits: " + node.asText());
     }
   }
 
-  /** Adds each value below {@code node} under its key; see {@link SettingsReader} for lists. */
+  /** Adds each value in {@code node} under its full key; see {@link SettingsReader} for lists. */
   private static void flatten(String key, JsonNode node, Map<String, String> into) {
     if (node.isObject()) {
       for (Map.Entry<String, JsonNode> field : node.properties()) {
--- a/src/main/java/merlinrouter/node/config/SettingNames.java
+++ b/src/main/java/merlinrouter/node/config/SettingNames.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Names in the configuration; the settings refer to each by its index in these lists.
+ * Names of the items that the settings identify by their indices in these lists.
  *
  * @param classes names of the request classes
  * @param plans names of the quota plans
--- a/src/main/java/merlinrouter/node/config/UnreadableConfigException.java
+++ b/src/main/java/merlinrouter/node/config/UnreadableConfigException.java
@@ -1,6 +1,6 @@
 package merlinrouter.node.config;
 
-/** A configuration file that could not be read; the next attempt may succeed. */
+/** Thrown if the configuration file cannot be read; a later attempt may succeed. */
 public final class UnreadableConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/merlinrouter/node/config/package-info.java
+++ b/src/main/java/merlinrouter/node/config/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The node's configuration file and the endpoint list: immutable records, their readers, and the
- * names of the keys in the file and in discovery's messages.
+ * keys in the file and in the lists that discovery sends.
  *
- * <p>All times are nanoseconds and all sizes bytes unless a name says otherwise.
+ * <p>Times are in nanoseconds and sizes in bytes unless a name states another unit.
  */
 package merlinrouter.node.config;
--- a/src/test/java/merlinrouter/node/InvalidConfigTest.java
+++ b/src/test/java/merlinrouter/node/InvalidConfigTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Configurations that a node cannot start with. */
+/** Configurations with which a node cannot start. */
 @Timeout(120)
 class InvalidConfigTest extends NodeFixture {
   @Test
   void invalidConfigurationNamesItsKey() throws Exception {
     String valid = configJson();
-    Map<String, String> broken =
+    Map<String, String> messageByConfig =
         new TreeMap<>(
             Map.of(
                 valid.replace("\"listen\"", "\"listenx\""),
@@ -32,7 +32,7 @@
                 "tariffs is missing",
                 "{",
                 "the configuration is not JSON"));
-    for (Map.Entry<String, String> entry : broken.entrySet()) {
+    for (Map.Entry<String, String> entry : messageByConfig.entrySet()) {
       String message =
           assertThrows(InvalidConfigException.class, () -> NodeConfigReader.parse(entry.getKey()))
               .getMessage();
