--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -298,7 +298,7 @@
     OptionalLong admittedAt = gateway.admittedAtNanos(request.id());
     admittedAt.ifPresent(
         nanos -> timeline.reach(RequestTimeline.Stage.ADMITTED, clock.toNanoTime(nanos)));
-    responseTimes.responded(request.id(), timeline);
+    responseTimes.recordResponse(request.id(), timeline);
     return true;
   }
 
@@ -327,6 +327,6 @@
 
   @Override
   public void log(String line) {
-    log.line(line);
+    log.writeLine(line);
   }
 }
--- a/src/main/java/merlinrouter/node/logging/ErrorLog.java
+++ b/src/main/java/merlinrouter/node/logging/ErrorLog.java
@@ -1,6 +1,6 @@
 package merlinrouter.node.logging;
 
-/** Reports unexpected errors on the standard error stream, one line each. Safe on any thread. */
+/** Reports unexpected errors on the standard error stream, one line each. Thread-safe. */
 public final class ErrorLog {
   private ErrorLog() {}
 
--- a/src/main/java/merlinrouter/node/logging/NodeLog.java
+++ b/src/main/java/merlinrouter/node/logging/NodeLog.java
@@ -5,17 +5,18 @@
 import java.util.Map;
 
 /**
- * The node's log on standard output: counts of events, written as one line while they grow, and a
- * line for each event that needs its request's id. Used on the event loop only.
+ * The node's log on standard output: event counts, written as one line per interval in which they
+ * have changed, and separate lines for events that need more detail, such as a request id. Used on
+ * the event loop only.
  */
 public final class NodeLog {
-  /** The counted events; their names stand in the log. */
+  /** The counted events; the log contains the names of these constants. */
   public enum Event {
-    /** An accept failed in this process. */
+    /** Accepting a client connection failed in this process. */
     ACCEPT_FAILED,
     /** A connection to an endpoint or to discovery failed in this process; nothing was sent. */
     LOCAL_CONNECT_FAILED,
-    /** A request's client disconnected before its response. */
+    /** A client disconnected before its request got a response. */
     CLIENT_DISCONNECTED,
     /** An attempt was not started: no response was owed, or the client may have disconnected. */
     ATTEMPT_SKIPPED,
@@ -27,7 +28,7 @@
     FAILED,
     /** The node closed a client connection without an open request: idle, evicted or shut down. */
     IDLE_CLOSED,
-    /** A request was refused before the gateway saw it: malformed, too slow or too large. */
+    /** A request was refused before it reached the gateway: malformed, too slow or too large. */
     BAD_REQUEST,
     /** An attempt's connection ended, or its response was malformed, before it was complete. */
     RESPONSE_INCOMPLETE,
@@ -41,10 +42,10 @@
     CLOCK_STEPPED
   }
 
-  /** How often counts are written unless it is said otherwise. */
+  /** Default interval between two lines of counts. */
   public static final Duration DEFAULT_INTERVAL = Duration.ofSeconds(10);
 
-  /** Bounds the output under a burst of events; the counts cover the others. */
+  /** Bounds the output under a burst of events; events beyond this are only counted. */
   private static final int MAX_REQUEST_LINES_PER_INTERVAL = 20;
 
   private final boolean silent;
@@ -55,7 +56,7 @@
   private boolean changed;
   private long intervalStartedAtNanos = System.nanoTime();
 
-  /** Creates a log that writes to standard output, and its counts in the default interval. */
+  /** Creates a log that writes to standard output, with counts in the default interval. */
   public NodeLog() {
     this(DEFAULT_INTERVAL);
   }
@@ -63,7 +64,7 @@
   /**
    * Creates a log that writes to standard output.
    *
-   * @param interval how often counts are written
+   * @param interval the interval between two lines of counts
    */
   public NodeLog(Duration interval) {
     this(interval, false);
@@ -80,7 +81,7 @@
   }
 
   /** Writes a line. */
-  public void line(String text) {
+  public void writeLine(String text) {
     if (!silent) {
       System.out.println(text);
     }
@@ -93,31 +94,31 @@
   }
 
   /**
-   * Counts an event of a request, and writes a line about it unless this interval already has its
-   * maximum of such lines.
+   * Counts an event of a request, and writes a line about it unless the maximum number of such
+   * lines has been written in this interval.
    */
   public void request(Event event, String requestId, String reason) {
     count(event);
     if (requestLines < MAX_REQUEST_LINES_PER_INTERVAL) {
-      line("request " + requestId + " " + event + ": " + reason);
+      writeLine("request " + requestId + " " + event + ": " + reason);
     }
     requestLines++;
   }
 
-  /** Counts and reports an action that was not carried out since it would break an invariant. */
+  /** Counts and logs an action that was not carried out because it would break an invariant. */
   public void violation(String requestId, String invariant) {
     violations++;
     changed = true;
-    line("invariant violated: request " + requestId + ": " + invariant);
+    writeLine("invariant violated: request " + requestId + ": " + invariant);
   }
 
   /**
-   * Writes the counts if an interval has passed and any has changed since they were last written.
-   * To be called several times an interval.
+   * Writes the counts if the interval has ended and any of them has changed since they were last
+   * written. Must be called several times per interval.
    *
-   * @return whether an interval has passed
+   * @return whether the interval has ended, also if no count has changed
    */
-  public boolean tick() {
+  public boolean writeCountsIfDue() {
     long nowNanos = System.nanoTime();
     if (nowNanos - intervalStartedAtNanos < intervalNanos) {
       return false;
@@ -126,7 +127,7 @@
     requestLines = 0;
     if (changed) {
       changed = false;
-      line("counts: " + counts + ", violations=" + violations);
+      writeLine("counts: " + counts + ", violations=" + violations);
     }
     return true;
   }
--- a/src/main/java/merlinrouter/node/monitoring/EventLoopMonitor.java
+++ b/src/main/java/merlinrouter/node/monitoring/EventLoopMonitor.java
@@ -9,58 +9,58 @@
 import merlinrouter.node.transport.TurnListener;
 
 /**
- * Measures the event loop's stalls, and runs what has to be done regularly. Used on the event loop
- * only.
+ * Measures the stalls of the event loop, logs them with the times of the final responses, and runs
+ * a periodic task. Used on the event loop only.
  */
 public final class EventLoopMonitor implements TurnListener {
-  private static final long REGULAR_TASK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long PERIODIC_TASK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** A longer stall is counted: the rules of the service allow for this one. */
+  /** The rules of the service allow for stalls up to this; longer ones are counted and logged. */
   private static final long MAX_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** A shorter stall is not reported: every turn that has work to do takes some time. */
-  private static final long MIN_REPORTED_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  /** Shorter stalls are not recorded: every turn that has work to do takes some time. */
+  private static final long MIN_RECORDED_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  /** How far back the threads' times may go that are reported with a stall. */
-  private static final long THREAD_TIMES_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  /** Interval of sampling the thread times, so that those logged with a stall are recent. */
+  private static final long THREAD_SAMPLE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /** How many stalls are remembered for the requests that crossed them. */
+  /** How many stalls are kept for the log lines of the late responses that they delayed. */
   private static final int MAX_RECENT_STALLS = 16;
 
   private final NodeLog log;
   private final ResponseTimes responseTimes;
   private final ThreadTimes threadTimes = new ThreadTimes();
   private final List<LoopStall> recentStalls = new ArrayList<>();
-  private Runnable regularTask;
+  private Runnable periodicTask;
   private LoopStall longestStall;
   private boolean started;
   private long startedAtNanos;
 
-  /** Creates a monitor; {@link #start} is still to be called. */
+  /** Creates a monitor that measures nothing before {@link #start}. */
   public EventLoopMonitor(NodeLog log) {
     this.log = log;
     responseTimes = new ResponseTimes(log);
   }
 
-  /** Takes the times of the final responses. */
+  /** Returns the recorder for the times of the final responses. */
   public ResponseTimes responseTimes() {
     return responseTimes;
   }
 
   /**
-   * Starts to measure; called on the event loop.
+   * Starts measuring. Called on the event loop.
    *
-   * @param task is run every half second
+   * @param task the periodic task, which is run every half second
    */
   public void start(EventLoop loop, Runnable task) {
-    regularTask = task;
+    periodicTask = task;
     threadTimes.start();
     started = true;
     startedAtNanos = System.nanoTime();
     loop.scheduleAtFixedRate(
-        this::runRegularTask,
-        REGULAR_TASK_INTERVAL_NANOS,
-        REGULAR_TASK_INTERVAL_NANOS,
+        this::runPeriodicTask,
+        PERIODIC_TASK_INTERVAL_NANOS,
+        PERIODIC_TASK_INTERVAL_NANOS,
         TimeUnit.NANOSECONDS);
   }
 
@@ -69,10 +69,10 @@
     if (!started || turn.stalledSinceNanos() - startedAtNanos < 0) {
       return;
     }
-    if (turn.stalledNanos() >= MIN_REPORTED_STALL_NANOS) {
+    if (turn.stalledNanos() >= MIN_RECORDED_STALL_NANOS) {
       recordStall(turn);
     } else {
-      threadTimes.sampleIfOlderThan(THREAD_TIMES_INTERVAL_NANOS);
+      threadTimes.sampleIfOlderThan(THREAD_SAMPLE_INTERVAL_NANOS);
     }
     if (responseTimes.hasUnreportedLateResponses()) {
       responseTimes.reportLateResponses(recentStalls);
@@ -90,13 +90,13 @@
     }
     if (turn.stalledNanos() > MAX_STALL_NANOS) {
       log.count(NodeLog.Event.EVENT_LOOP_STALLED);
-      log.line("event loop stalled for " + stall.describe());
+      log.writeLine("event loop stalled for " + stall.describe());
     }
   }
 
-  private void runRegularTask() {
-    regularTask.run();
-    if (log.tick()) {
+  private void runPeriodicTask() {
+    periodicTask.run();
+    if (log.writeCountsIfDue()) {
       reportInterval();
     }
   }
@@ -107,7 +107,7 @@
     longestStall = null;
     if (!responses.isEmpty() || !stall.isEmpty()) {
       String separator = responses.isEmpty() || stall.isEmpty() ? "" : ", ";
-      log.line("timing: " + responses + separator + stall);
+      log.writeLine("timing: " + responses + separator + stall);
     }
   }
 }
--- a/src/main/java/merlinrouter/node/monitoring/LoopStall.java
+++ b/src/main/java/merlinrouter/node/monitoring/LoopStall.java
@@ -7,16 +7,16 @@
  * A turn of the event loop that was long enough to delay responses.
  *
  * @param turn the turn
- * @param threads what the process's threads used meanwhile, for a log line
+ * @param threads the recent CPU times of the process's threads, as text for a log line
  */
 record LoopStall(LoopTurn turn, String threads) {
 
-  /** Whether a part of a span of time, in {@link System#nanoTime}, fell into this stall. */
+  /** Returns whether a time span, in {@link System#nanoTime}, overlaps this stall. */
   boolean overlaps(long fromNanos, long toNanos) {
     return turn.endedAtNanos() - fromNanos > 0 && toNanos - turn.stalledSinceNanos() > 0;
   }
 
-  /** The stall's length and parts in milliseconds, for a log line. */
+  /** Returns the stall's duration and its parts in milliseconds, for a log line. */
   String describe() {
     return millis(turn.stalledNanos())
         + " ms (overslept "
--- a/src/main/java/merlinrouter/node/monitoring/ResponseTimes.java
+++ b/src/main/java/merlinrouter/node/monitoring/ResponseTimes.java
@@ -7,11 +7,12 @@
 import merlinrouter.time.Nanos;
 
 /**
- * How much time the final responses left to their clients' own deadlines, and which came after
- * them. Used on the event loop only; times are of {@link System#nanoTime}.
+ * Records how much time was left until the clients' own deadlines when their final responses were
+ * written, and logs the responses that were late. Used on the event loop only; times are of {@link
+ * System#nanoTime}.
  */
 public final class ResponseTimes {
-  /** A response after its client's deadline. */
+  /** A response that was written after its client's deadline. */
   private record LateResponse(String requestId, RequestTimeline timeline) {}
 
   private final NodeLog log;
@@ -23,8 +24,8 @@
     this.log = log;
   }
 
-  /** Records that a request's final response was written, at the end of its timeline. */
-  public void responded(String requestId, RequestTimeline timeline) {
+  /** Records a final response, whose time of writing is already in the request's timeline. */
+  public void recordResponse(String requestId, RequestTimeline timeline) {
     long leftNanos = timeline.clientDeadlineNanos() - timeline.respondedAtNanos();
     responses++;
     leastLeftNanos = Math.min(leastLeftNanos, leftNanos);
@@ -33,7 +34,7 @@
     }
   }
 
-  /** Writes a line about each late response that has none yet, with the stalls that it crossed. */
+  /** Logs each late response not logged yet, with the stalls that overlap its request's time. */
   void reportLateResponses(List<LoopStall> recentStalls) {
     for (LateResponse late : lateResponses) {
       RequestTimeline timeline = late.timeline;
@@ -55,12 +56,12 @@
     return text.length() == 0 ? "; no stall of the event loop" : text.toString();
   }
 
-  /** Whether a response is waiting for its line. */
+  /** Returns whether a late response has not been logged yet. */
   boolean hasUnreportedLateResponses() {
     return !lateResponses.isEmpty();
   }
 
-  /** Tells of the responses since the last call, for a log line; empty if there were none. */
+  /** Summarizes the responses since the last call, for a log line; empty if there were none. */
   String describeInterval() {
     if (responses == 0) {
       return "";
--- a/src/main/java/merlinrouter/node/monitoring/ThreadTimes.java
+++ b/src/main/java/merlinrouter/node/monitoring/ThreadTimes.java
@@ -13,9 +13,10 @@
 import merlinrouter.time.Nanos;
 
 /**
- * CPU times of the event loop's thread and of the JVM's threads that can hold it up, the garbage
- * collector's and the first compiler's, from the scheduler statistics of Linux. Without these
- * statistics, or without a free file descriptor, nothing is reported. Used on the event loop only.
+ * CPU times of the event loop's thread and of the JVM threads that can delay it, the garbage
+ * collector's and the C1 compiler's, from the scheduler statistics of Linux. If the threads cannot
+ * be listed at the start, their times are reported as unknown; if the statistics cannot be read,
+ * for example for lack of a file descriptor, as unchanged. Used on the event loop only.
  */
 final class ThreadTimes {
   private static final Path THIS_THREAD = Path.of("/proc/thread-self");
@@ -23,46 +24,46 @@
   private static final String NAME_FILE = "comm";
   private static final String STATISTICS_FILE = "schedstat";
 
-  /** The JVM's names of its threads, as far as the platform keeps them. */
+  /** Names of JVM threads, cut off at the 15 characters that Linux keeps. */
   private static final List<String> JVM_THREADS = List.of("VM Thread", "C1 CompilerThre");
 
   private static final int MAX_STATISTICS_BYTES = 128;
 
   /**
-   * Times since a thread was started.
+   * Times of a thread since its start.
    *
    * @param ranNanos how long it ran on a core
-   * @param waitedNanos how long it could have run and waited for a core
+   * @param waitedNanos how long it was runnable and waited for a core
    */
   private record Times(long ranNanos, long waitedNanos) {
     static final Times UNKNOWN = new Times(0, 0);
   }
 
-  /** A thread that is watched, and its times when they were last read. */
-  private static final class WatchedThread {
+  /** A sampled thread, and its times when they were last read. */
+  private static final class SampledThread {
     private final String name;
     private final String statisticsFile;
     private Times last = Times.UNKNOWN;
 
-    WatchedThread(String name, Path folder) {
+    SampledThread(String name, Path folder) {
       this.name = name;
       statisticsFile = folder.resolve(STATISTICS_FILE).toString();
     }
   }
 
   private final byte[] buffer = new byte[MAX_STATISTICS_BYTES];
-  private final List<WatchedThread> threads = new ArrayList<>();
+  private final List<SampledThread> threads = new ArrayList<>();
   private long sampledAtNanos = System.nanoTime();
 
-  /** Starts to watch the calling thread, which is the event loop's, and the JVM's threads. */
+  /** Starts sampling the calling thread, as the event loop's, and the JVM threads. */
   void start() {
     try {
       Path ownFolder = THREADS.resolve(Files.readSymbolicLink(THIS_THREAD).getFileName());
-      threads.add(new WatchedThread("event loop", ownFolder));
+      threads.add(new SampledThread("event loop", ownFolder));
       Map<String, Path> foldersByName = foldersByThreadName();
       for (String name : JVM_THREADS) {
         if (foldersByName.containsKey(name)) {
-          threads.add(new WatchedThread(name, foldersByName.get(name)));
+          threads.add(new SampledThread(name, foldersByName.get(name)));
         }
       }
     } catch (IOException e) {
@@ -81,7 +82,7 @@
     return foldersByName;
   }
 
-  /** Takes a sample if the last one is older: {@link #describeSinceSample} counts from it. */
+  /** Takes a sample, which {@link #describeSinceSample} counts from, if the last one is older. */
   void sampleIfOlderThan(long ageNanos) {
     if (System.nanoTime() - sampledAtNanos > ageNanos) {
       sample();
@@ -89,20 +90,20 @@
   }
 
   private void sample() {
-    for (WatchedThread thread : threads) {
+    for (SampledThread thread : threads) {
       thread.last = read(thread);
     }
     sampledAtNanos = System.nanoTime();
   }
 
-  /** Tells what the threads have used since the last sample, and takes a new one. */
+  /** Returns the threads' times since the last sample, for a log line, and takes a new sample. */
   String describeSinceSample() {
     if (threads.isEmpty()) {
       return "threads unknown";
     }
     StringBuilder text = new StringBuilder("in the last ");
     text.append((System.nanoTime() - sampledAtNanos) / Nanos.PER_MILLI).append(" ms");
-    for (WatchedThread thread : threads) {
+    for (SampledThread thread : threads) {
       Times now = read(thread);
       text.append(", ").append(thread.name).append(" ran ");
       text.append((now.ranNanos - thread.last.ranNanos) / Nanos.PER_MILLI);
@@ -114,8 +115,8 @@
     return text.toString();
   }
 
-  /** The times of a thread now; those last read if the statistics cannot be read. */
-  private Times read(WatchedThread thread) {
+  /** Returns a thread's current times, or those last read if the statistics cannot be read. */
+  private Times read(SampledThread thread) {
     try (FileInputStream file = new FileInputStream(thread.statisticsFile)) {
       int length = file.read(buffer);
       String[] fields =
