--- a/src/main/java/merlinrouter/node/ClientDeadlines.java
+++ b/src/main/java/merlinrouter/node/ClientDeadlines.java
@@ -5,11 +5,11 @@
 import merlinrouter.node.request.OpenRequest;
 
 /**
- * The open requests that are owed a response, by the moment at which their clients stop waiting.
- * Used on the event loop only.
+ * The open requests that are still owed a response, ordered by the times at which their clients
+ * stop waiting. Used on the event loop only.
  */
 final class ClientDeadlines {
-  /** Moments of {@link System#nanoTime} can be compared by their distance from one of them. */
+  /** {@link System#nanoTime} may overflow: its values are compared by their distance from this. */
   private final long originNanos = System.nanoTime();
 
   private final TreeSet<OpenRequest> requests =
@@ -18,12 +18,12 @@
                   request -> request.timeline().clientDeadlineNanos() - originNanos)
               .thenComparing(OpenRequest::id));
 
-  /** Adds a request; at most one with an id may be in here. */
+  /** Adds a request; no other one with the same id may be present. */
   void add(OpenRequest request) {
     requests.add(request);
   }
 
-  /** Removes a request, if it is in here. */
+  /** Removes a request if it is present. */
   void remove(OpenRequest request) {
     requests.remove(request);
   }
--- a/src/main/java/merlinrouter/node/DeadlineMargin.java
+++ b/src/main/java/merlinrouter/node/DeadlineMargin.java
@@ -7,10 +7,10 @@
  * response is written before the client stops waiting.
  */
 final class DeadlineMargin {
-  /** Time to write a response. */
+  /** Time allowed for writing a response. */
   private static final long RESPONSE_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
 
-  /** CPU time of one collection of the young generation, which may delay the response. */
+  /** CPU time of one young-generation garbage collection, which may delay the response. */
   private static final long STALL_CPU_NANOS = TimeUnit.MILLISECONDS.toNanos(24);
 
   /** The allowance for a stall is at most a quarter of the client's timeout. */
@@ -20,16 +20,20 @@
 
   private final long stallNanos;
 
-  /** Creates the margin of a process that may use some CPU cores, from above 0 to 1. */
+  /**
+   * Creates the margin of a process.
+   *
+   * @param cores the fraction of a CPU core that the process may use, above 0 and up to 1
+   */
   DeadlineMargin(double cores) {
     stallNanos = (long) (STALL_CPU_NANOS / cores);
   }
 
   /**
-   * The deadline that the gateway is given.
+   * Returns the deadline that the gateway applies to a request.
    *
    * @param arrivedAtNanos when the request arrived, by the gateway's clock
-   * @param timeoutNanos how long its client waits from then
+   * @param timeoutNanos how long its client waits from then on
    */
   long deadlineNanos(long arrivedAtNanos, long timeoutNanos) {
     long marginNanos =
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -25,11 +25,12 @@
 import merlinrouter.node.upstream.UpstreamPool;
 
 /**
- * A real edge node and its life cycle: start, reload, graceful shutdown. All of it runs on one
- * event loop, so nothing is locked, and the gateway has one caller.
+ * An edge node that serves clients over sockets, with its life cycle: start, reload and graceful
+ * shutdown. All of it runs on one event loop, so it needs no locks, and the gateway is never called
+ * concurrently.
  */
 public final class EdgeNode implements RequestHandler, AutoCloseable {
-  /** How long new connections are accepted after SIGTERM; clients make them for 0.4 s at most. */
+  /** How long new connections are accepted after SIGTERM; clients open them for up to 0.4 s. */
   private static final long ACCEPT_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
   private final PollTimestamps pollTimestamps = new PollTimestamps();
@@ -48,7 +49,7 @@
   private final DiscoveryClient discovery;
   private final ClientListener clients;
 
-  /** A configuration that was read again before the start; null if there is none. */
+  /** The configuration of a reload that preceded the start; null if there was none. */
   private NodeConfig reloadedBeforeStart;
 
   /** Creates a node that logs to standard output. */
@@ -56,7 +57,7 @@
     this(config, new NodeLog());
   }
 
-  /** Creates a node; {@link #start} is still to be called. */
+  /** Creates a node that does not serve before {@link #start}. */
   public EdgeNode(NodeConfig config, NodeLog log) {
     this.config = config;
     this.log = log;
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Starts to serve; returns when the listening socket is bound.
+   * Starts serving. Blocks until the listening socket is bound.
    *
    * @throws ExecutionException if the node cannot start
-   * @throws InterruptedException if the thread is interrupted
+   * @throws InterruptedException if the thread is interrupted while it waits
    */
   public void start() throws ExecutionException, InterruptedException {
     loop.submit(this::startOnLoop).get();
@@ -100,8 +101,9 @@
   }
 
   /**
-   * Switches to the addresses of discovery and counter in a new configuration. All else in it is
-   * for the next start; clients, attempts and the endpoint list stay as they are.
+   * Switches to the addresses of discovery and counter in a new configuration. Its other settings
+   * are ignored until the next start; client connections, attempts and the endpoint list are not
+   * affected. May be called on any thread, also before the start.
    */
   public void reload(NodeConfig changed) {
     loop.execute(
@@ -122,8 +124,10 @@
   }
 
   /**
-   * Shuts down gracefully: responds to all requests that are accepted, in time before the process
-   * may be killed, and completes when no client connection is open any more.
+   * Starts a graceful shutdown, in which all accepted requests get responses before the process may
+   * be killed. May be called on any thread.
+   *
+   * @return a future that completes when no client connection is open any more
    */
   public CompletableFuture<Void> drain() {
     CompletableFuture<Void> done = new CompletableFuture<>();
@@ -152,8 +156,8 @@
   }
 
   /**
-   * Whether a list was received, or discovery has had time enough to send one; without one the node
-   * serves with the list of its configuration.
+   * Returns whether an endpoint list has been received, or discovery has had enough time to send
+   * one. Without one the node serves with the list of its configuration.
    */
   @Override
   public boolean isReady() {
@@ -185,37 +189,37 @@
     return log;
   }
 
-  /** The event loop that everything of the node runs on. */
+  /** Returns the event loop that the whole node runs on. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** Where clients connect. */
+  /** Returns the address that clients connect to; valid after {@link #start}. */
   public SocketAddress address() {
     return clients.address();
   }
 
-  /** The client of discovery; to be used on the event loop. */
+  /** Returns the discovery client, which must be used on the event loop only. */
   public DiscoveryClient discovery() {
     return discovery;
   }
 
-  /** How many client connections are open. */
+  /** Returns how many client connections are open. Must not be called on the event loop. */
   int clientConnectionCount() throws Exception {
     return clients.connectionCount();
   }
 
-  /** How many bytes clients' requests hold. */
+  /** Returns how many bytes are held by client requests. Called on the event loop only. */
   long usedRequestBytes() {
     return budget.usedBytes();
   }
 
-  /** How many client connections are not read from at present; asked on the event loop. */
+  /** Returns how many client connections are not being read. Called on the event loop only. */
   int readingPausedCount() {
     return clients.readingPausedCount();
   }
 
-  /** Whether the listening socket is bound; asked on the event loop. */
+  /** Returns whether the listening socket is bound. Called on the event loop only. */
   boolean isListening() {
     return clients.isListening();
   }
@@ -224,7 +228,7 @@
     return host.upstreamPool();
   }
 
-  /** The time, by the gateway's clock. */
+  /** Returns the current time by the gateway's clock. */
   long nowNanos() {
     return clock.nowNanos();
   }
--- a/src/main/java/merlinrouter/node/EndpointListUpdater.java
+++ b/src/main/java/merlinrouter/node/EndpointListUpdater.java
@@ -13,9 +13,9 @@
 import merlinrouter.node.discovery.EndpointStartTimes;
 
 /**
- * Passes updates of the endpoint list on: converts the endpoints' start times to the gateway's
- * clock, has the connections follow the list, and notifies the gateway of the list as it then
- * stands. Used on the event loop only.
+ * Applies updates of the endpoint list: converts the endpoints' start times to the gateway's clock,
+ * updates the connections to endpoints, and notifies the gateway of the resulting update. Used on
+ * the event loop only.
  */
 final class EndpointListUpdater implements EndpointListListener {
   private final GatewayHost host;
@@ -39,10 +39,10 @@
     observeClocks();
     long nowNanos = clock.nowNanos();
     List<EndpointEntry> entries = new ArrayList<>();
-    Set<String> named = new HashSet<>();
+    Set<String> listedIds = new HashSet<>();
     for (EndpointEntry entry : list.entries()) {
       Endpoint endpoint = entry.endpoint();
-      named.add(endpoint.id());
+      listedIds.add(endpoint.id());
       long startedAtNanos =
           startTimes.toMonotonicNanos(endpoint.id(), endpoint.startedAtNanos(), nowNanos);
       entries.add(new EndpointEntry(endpoint.withStartedAtNanos(startedAtNanos), entry.address()));
@@ -51,12 +51,12 @@
       }
     }
     if (list.complete()) {
-      startTimes.retain(named);
+      startTimes.retain(listedIds);
     }
     return new EndpointList(list.revision(), list.complete(), entries);
   }
 
-  /** Compares the wall clock with the gateway's; called often enough to notice a step soon. */
+  /** Compares the wall clock with the gateway's. Must be called often, to detect a step soon. */
   void observeClocks() {
     startTimes.observeClocks(clock.nowNanos(), NodeClock.wallNanos());
   }
--- a/src/main/java/merlinrouter/node/EventDelivery.java
+++ b/src/main/java/merlinrouter/node/EventDelivery.java
@@ -5,25 +5,25 @@
 import merlinrouter.node.logging.ErrorLog;
 
 /**
- * Delivers events to the gateway one at a time. Sockets may report within an action, that is within
- * an event, and the gateway must not be entered twice: such an event is delivered later. Used on
- * the event loop only.
+ * Delivers events to the gateway one at a time. The gateway is not reentrant, but sockets may
+ * report events while they carry out an action that the gateway requested during another event:
+ * such an event is delivered in a later task of the event loop. Used on the event loop only.
  */
 final class EventDelivery {
-  private static final Runnable NOTHING = () -> {};
+  private static final Runnable NO_OP = () -> {};
 
   private final EventLoop loop;
   private final NodeClock clock;
   private final Runnable beforeEvent;
   private boolean preparing;
   private boolean delivering;
-  private long eventStartedNanos;
+  private long eventStartedAtNanos;
 
   /**
    * Creates a delivery.
    *
-   * @param beforeEvent runs before each event, outside of one; events that it delivers do not run
-   *     it again
+   * @param beforeEvent runs before each event, while none is being delivered; does not run before
+   *     the events that it delivers itself
    */
   EventDelivery(EventLoop loop, NodeClock clock, Runnable beforeEvent) {
     this.loop = loop;
@@ -31,16 +31,16 @@
     this.beforeEvent = beforeEvent;
   }
 
-  /** Delivers an event, which gets the time, by the gateway's clock. */
+  /** Delivers an event, which is passed the current time by the gateway's clock. */
   void deliver(LongConsumer event) {
-    deliver(event, NOTHING);
+    deliver(event, NO_OP);
   }
 
   /**
-   * Delivers an event, which gets the time, by the gateway's clock.
+   * Delivers an event, which is passed the current time by the gateway's clock.
    *
-   * @param onFailure runs if the gateway fails on the event; the failure itself goes no further,
-   *     since one request's event must not end the process
+   * @param onFailure runs if the event throws an exception, which is logged and not rethrown,
+   *     because a failure in one request's event must not end the process
    */
   void deliver(LongConsumer event, Runnable onFailure) {
     if (delivering) {
@@ -49,11 +49,11 @@
     }
     prepare();
     delivering = true;
-    eventStartedNanos = clock.nowNanos();
+    eventStartedAtNanos = clock.nowNanos();
     try {
-      event.accept(eventStartedNanos);
+      event.accept(eventStartedAtNanos);
     } catch (RuntimeException e) {
-      ErrorLog.report("the gateway failed", e);
+      ErrorLog.report("gateway failed to handle an event", e);
       onFailure.run();
     } finally {
       delivering = false;
@@ -71,8 +71,8 @@
     }
   }
 
-  /** Time since the event that is being delivered started, which its decisions do not see. */
+  /** Returns the time since the current event started, which the gateway does not account for. */
   long nanosSinceEventStarted() {
-    return clock.nowNanos() - eventStartedNanos;
+    return clock.nowNanos() - eventStartedAtNanos;
   }
 }
--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -30,14 +30,14 @@
 import merlinrouter.settings.RequestClass;
 
 /**
- * The host of the gateway's decisions: holds the open requests, notifies the gateway of what
- * happens to them, and carries its actions out. Used on the event loop only.
+ * Hosts the gateway: keeps the open requests, delivers events to the gateway, and carries out the
+ * actions that it requests. Used on the event loop only.
  */
 final class GatewayHost implements GatewayActions, AttemptListener {
   /**
    * How long after the gateway's deadline a request without a response is failed: less than the
    * {@link DeadlineMargin}, so that the response precedes the client's own deadline unless the
-   * client waits for a few milliseconds only.
+   * client's timeout is only a few milliseconds.
    */
   private static final long OVERDUE_NANOS = TimeUnit.MILLISECONDS.toNanos(6);
 
@@ -72,12 +72,12 @@
     this.budget = budget;
     this.guard = guard;
     this.responseTimes = responseTimes;
-    events = new EventDelivery(loop, clock, this::endExpired);
+    events = new EventDelivery(loop, clock, this::failExpired);
     upstreamPool = new UpstreamPool(this, loop, config, log);
     counterClient = new CounterClient(this::counterCallEnded, loop, config);
   }
 
-  /** Starts the gateway; no other method may be called before. */
+  /** Starts the gateway. Must be called before any event is delivered. */
   void start() {
     gateway = new Gateway(config.settings(), config.seed(), clock.nowNanos(), this);
   }
@@ -95,7 +95,7 @@
   }
 
   /**
-   * Accepts a request and hands it to the gateway.
+   * Accepts a request and passes it to the gateway.
    *
    * @return false, with nothing done, if a request with the same id is open
    */
@@ -106,7 +106,7 @@
     long overdueAtNanos = request.clientRequest().deadlineNanos() + OVERDUE_NANOS;
     request.setOverdueTimer(
         loop.schedule(
-            () -> endOverdue(request),
+            () -> failOverdue(request),
             Math.max(0, overdueAtNanos - clock.nowNanos()),
             TimeUnit.NANOSECONDS));
     budget.change(request.body().readableBytes());
@@ -118,20 +118,20 @@
   }
 
   /**
-   * Ends the requests whose clients have stopped waiting. Behind a stall of the event loop this
-   * comes before the events that came meanwhile, so that the time these take, or another stall,
-   * does not delay their responses further.
+   * Fails the requests whose clients have stopped waiting. After a stall of the event loop this
+   * precedes the events that were delayed by it, so that the time these take, or another stall,
+   * does not delay the responses further.
    */
-  private void endExpired() {
+  private void failExpired() {
     OpenRequest request = clientDeadlines.pollExpired();
     while (request != null) {
-      endOverdue(request);
+      failOverdue(request);
       request = clientDeadlines.pollExpired();
     }
   }
 
-  /** Ends a request that the gateway has left without a response: each is owed one. */
-  private void endOverdue(OpenRequest request) {
+  /** Fails a request that the gateway has not responded to, because each is owed a response. */
+  private void failOverdue(OpenRequest request) {
     if (!request.isResponded()) {
       String attempt = request.isAttemptInFlight() ? "one in flight" : "none in flight";
       log.request(
@@ -146,12 +146,12 @@
     if (request.takeResponseSink() != null) {
       clientDeadlines.remove(request);
       log.count(NodeLog.Event.CLIENT_DISCONNECTED);
-      forgetIfEnded(request);
+      removeIfEnded(request);
       deliverOrFail(request, now -> gateway.clientDisconnected(now, request.id()));
     }
   }
 
-  /** Records a change of the endpoint list. */
+  /** Notifies the gateway of an update of the endpoint list. */
   void endpointsUpdated(EndpointUpdateType type, List<Endpoint> endpoints) {
     events.deliver(now -> gateway.endpointsUpdated(now, type, endpoints));
   }
@@ -174,7 +174,7 @@
             attempt.chargedUnits(),
             List.of());
     deliverOrFail(request, now -> gateway.attemptEnded(now, result));
-    forgetIfEnded(request);
+    removeIfEnded(request);
   }
 
   private void counterCallEnded(CounterResult result) {
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Delivers an event; if the gateway fails on it, the request is failed and the gateway is
-   * notified.
+   * Delivers an event of a request. If it throws an exception, the request is failed and the
+   * gateway stops tracking it.
    */
   private void deliverOrFail(OpenRequest request, LongConsumer event) {
     events.deliver(
@@ -197,15 +197,15 @@
   }
 
   /**
-   * Makes the gateway stop tracking a request that the host has ended itself; an attempt in flight
-   * still ends. For the gateway this is as if the client had disconnected.
+   * Makes the gateway stop tracking a request that the host has failed itself; the end of an
+   * attempt in flight is still reported. The gateway handles this as a disconnect of the client.
    */
   private void stopTracking(OpenRequest request, long nowNanos) {
     gateway.clientDisconnected(nowNanos, request.id());
   }
 
-  /** Forgets a request that is owed no response and has no attempt in flight. */
-  private void forgetIfEnded(OpenRequest request) {
+  /** Removes a request if no response is owed any more and no attempt is in flight. */
+  private void removeIfEnded(OpenRequest request) {
     if (request.isResponded()
         && !request.isAttemptInFlight()
         && openRequests.remove(request.id(), request)) {
@@ -222,7 +222,7 @@
       return;
     }
     if (!request.isAttemptInFlight() && !request.readAndCheckClientWaiting()) {
-      // The client has disconnected, or may have done so unseen: the request ends here.
+      // The client has disconnected, or may have done so undetected: no attempt is started.
       fail(request);
     }
     if (request.isResponded()) {
@@ -238,7 +238,7 @@
       log.count(NodeLog.Event.RETRIED);
     }
     request.startAttempt();
-    // The gateway's timeout counts from its event; the event loop may have stalled since.
+    // The gateway's timeout counts from the start of the event; the loop may have stalled since.
     long leftNanos = timeoutNanos - events.nanosSinceEventStarted();
     upstreamPool.send(request, endpointId, Math.max(MIN_ATTEMPT_TIMEOUT_NANOS, leftNanos));
   }
@@ -249,7 +249,7 @@
     return guard.mayStartAttempt(request, requestClass, clock.nowNanos());
   }
 
-  /** Ends an attempt that is not started: the gateway counts it as in flight until then. */
+  /** Reports that an attempt was not started: the gateway counts it as in flight until then. */
   private void reportNotSent(String requestId, String endpointId, boolean requestComplete) {
     AttemptResult result =
         new AttemptResult(
@@ -262,7 +262,7 @@
     OpenRequest request = openRequests.get(requestId);
     if (request != null && respond(request, sink -> sink.rejected(retryAfterNanos))) {
       log.count(NodeLog.Event.REJECTED);
-      forgetIfEnded(request);
+      removeIfEnded(request);
     }
   }
 
@@ -277,14 +277,14 @@
   private void fail(OpenRequest request) {
     if (respond(request, ResponseSink::failed)) {
       log.request(NodeLog.Event.FAILED, request.id(), "after " + request.attempts() + " attempts");
-      forgetIfEnded(request);
+      removeIfEnded(request);
     }
   }
 
   /**
    * Sends a request's final response.
    *
-   * @return false, with nothing done, if it was sent before or the client has disconnected
+   * @return false, with nothing done, if one was sent before or the client has disconnected
    */
   private boolean respond(OpenRequest request, Consumer<ResponseSink> response) {
     ResponseSink sink = request.takeResponseSink();
@@ -322,7 +322,7 @@
 
   @Override
   public void subscribeToEndpoints() {
-    // Discovery is watched from the start, and again whenever a watch ends.
+    // The discovery client opens a watch at the start, and a new one whenever a watch ends.
   }
 
   @Override
--- a/src/main/java/merlinrouter/node/ShutdownDeadline.java
+++ b/src/main/java/merlinrouter/node/ShutdownDeadline.java
@@ -6,21 +6,22 @@
 
 /**
  * Limits deadlines during a graceful shutdown: the process may be killed when the longest deadline
- * of a request and a margin have passed since SIGTERM, and what is open then gets no response.
+ * of a request class and a margin have passed since SIGTERM, and requests that are open then get no
+ * response.
  */
 final class ShutdownDeadline {
-  /** The longest deadline counts as this where it is longer. */
+  /** If the longest deadline exceeds this, it counts as this. */
   private static final long MAX_LONGEST_DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private static final long KILL_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** By so much in all the signal may be noticed late and the event loop be stalled. */
+  /** Total allowance for late handling of the signal and for stalls of the event loop. */
   private static final long MAX_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   private final long maxShutdownNanos;
   private long latestNanos = Long.MAX_VALUE;
 
-  /** Creates the limit of a node that is not shutting down. */
+  /** Creates a limit that does not apply before {@link #shutdownStarted}. */
   ShutdownDeadline(List<RequestClass> requestClasses) {
     long longestNanos =
         requestClasses.stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
@@ -28,12 +29,12 @@
         Math.min(longestNanos, MAX_LONGEST_DEADLINE_NANOS) + KILL_MARGIN_NANOS - MAX_DELAY_NANOS;
   }
 
-  /** Starts to limit deadlines, unless it does. */
+  /** Starts limiting deadlines, unless the shutdown has already started. */
   void shutdownStarted(long nowNanos) {
     latestNanos = Math.min(latestNanos, nowNanos + maxShutdownNanos);
   }
 
-  /** The deadline, or the moment by which all requests must have their responses if earlier. */
+  /** Returns the deadline, or the time by which all responses are due if that is earlier. */
   long limit(long deadlineNanos) {
     return Math.min(deadlineNanos, latestNanos);
   }
