--- a/src/main/java/merlinrouter/node/lifecycle/HangupSignal.java
+++ b/src/main/java/merlinrouter/node/lifecycle/HangupSignal.java
@@ -3,17 +3,17 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The signal SIGHUP. */
+/** Handling of the signal SIGHUP. */
 final class HangupSignal {
   private static final String NAME = "HUP";
 
   private HangupSignal() {}
 
   /**
-   * Sets what is done on SIGHUP, on a thread of the JVM. Without a handler the signal ends the JVM,
-   * and only this internal class of the platform can set one.
+   * Sets the handler for SIGHUP, which runs on a thread of the JVM. Without a handler the signal
+   * terminates the JVM, and only the JDK's internal class {@link Signal} can set one.
    *
-   * @return whether the handler is set: the JVM sets none where the process was started with SIGHUP
+   * @return whether the handler is set: the JVM sets none if the process was started with SIGHUP
    *     ignored, as by nohup
    */
   static boolean handle(Runnable handler) {
--- a/src/main/java/merlinrouter/node/lifecycle/NodeProcess.java
+++ b/src/main/java/merlinrouter/node/lifecycle/NodeProcess.java
@@ -19,7 +19,7 @@
 
 /**
  * A process that serves as one node. SIGHUP reloads the configuration and SIGTERM drains the node;
- * the JVM handles both on threads of its own, so that they may come at any moment of the start.
+ * the JVM handles both on threads of its own, so either may arrive at any point of the start.
  */
 public final class NodeProcess {
   private static final int WARM_UP_REQUESTS = 1_000;
@@ -32,16 +32,16 @@
   private final Duration logInterval;
 
   /** The node once it is created; null during the warm-up. */
-  private final AtomicReference<EdgeNode> serving = new AtomicReference<>();
+  private final AtomicReference<EdgeNode> createdNode = new AtomicReference<>();
 
-  private final AtomicInteger hangups = new AtomicInteger();
+  private final AtomicInteger hangupCount = new AtomicInteger();
 
   /**
-   * Creates a process that does nothing yet.
+   * Creates a process that does nothing before {@link #start}.
    *
    * @param configPath the configuration file
-   * @param temporaryFolder where the warm-up may put its sockets
-   * @param logInterval how often the node's log tells its counts
+   * @param temporaryFolder the folder in which the warm-up may create its sockets
+   * @param logInterval the interval between two lines of counts in the node's log
    */
   public NodeProcess(Path configPath, Path temporaryFolder, Duration logInterval) {
     configFile = new ConfigFile(configPath);
@@ -49,7 +49,7 @@
     this.logInterval = logInterval;
   }
 
-  /** Has the libraries log on single lines, to the JDK's own log. */
+  /** Makes the libraries log through the JDK's logging, one line for each record. */
   public static void configureLogging() {
     // Set explicitly, since Netty's search for other logging libraries slows down the start.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -66,8 +66,9 @@
    * @throws Exception if the node cannot start for another reason
    */
   public void start() throws Exception {
-    if (!HangupSignal.handle(this::hangUp)) {
-      System.err.println("SIGHUP is ignored by whatever started this process: no reload");
+    if (!HangupSignal.handle(this::handleHangup)) {
+      System.err.println(
+          "SIGHUP is ignored, as inherited by this process: the configuration cannot be reloaded");
     }
     Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "shutdown"));
     warmUp();
@@ -77,59 +78,65 @@
   }
 
   private void warmUp() throws Exception {
-    long startedAt = System.nanoTime();
+    long startedAtNanos = System.nanoTime();
     int served = WarmUp.run(configFile.read(), WARM_UP_REQUESTS, WARM_UP_MAX_MILLIS, warmUpFolder);
-    long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
+    long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
     System.out.println("warmed up with " + served + " requests in " + tookMillis + " ms");
   }
 
-  /** Reads the file again: SIGHUP may have come during the warm-up, or comes during the reading. */
+  /**
+   * Creates the node. Reads the configuration again, because a SIGHUP may have arrived during the
+   * warm-up, and reloads it if a SIGHUP arrives while it is read.
+   */
   private EdgeNode createNode() throws Exception {
-    int hangupsBefore = hangups.get();
-    // Moves what the start leaves to the old generation now. The first collection under load would
-    // have to, on pages that were never touched, and would stall the event loop for that long.
+    int hangupCountBefore = hangupCount.get();
+    // Promotes what survives the start to the old generation now. Otherwise the first collection
+    // under load would do so, on pages never touched before, and stall the event loop meanwhile.
     System.gc();
     EdgeNode node = new EdgeNode(configFile.read(), new NodeLog(logInterval));
-    serving.set(node);
-    if (hangups.get() != hangupsBefore) {
+    createdNode.set(node);
+    if (hangupCount.get() != hangupCountBefore) {
       reload(node);
     }
     return node;
   }
 
-  private void hangUp() {
-    hangups.incrementAndGet();
-    EdgeNode node = serving.get();
+  private void handleHangup() {
+    hangupCount.incrementAndGet();
+    EdgeNode node = createdNode.get();
     if (node == null) {
-      System.out.println("the configuration will be read again for the start");
+      System.out.println("configuration reload postponed until the node is created");
     } else {
       reload(node);
     }
   }
 
-  /** A file that cannot be used costs one line, and the node keeps its configuration. */
+  /** Reloads the configuration; if that fails, logs one line, and the previous one stays. */
   private void reload(EdgeNode node) {
     try {
-      // One at a time: signals may follow each other faster than the file is read.
+      // One reload at a time: signals may follow each other faster than the file is read.
       synchronized (configFile) {
         node.reload(configFile.reload());
       }
-      System.out.println("configuration read again");
+      System.out.println("configuration reloaded");
     } catch (Exception e) {
-      System.err.println("the configuration stays as it was: " + e.getMessage());
+      System.err.println(
+          "configuration reload failed, the previous configuration stays in effect: "
+              + e.getMessage());
     }
   }
 
-  /** Exits with 0: the platform reads any other status as a failure of the node. */
+  /** Drains the node and exits with 0: the platform takes any other status for a failure. */
   private void shutDown() {
     try {
-      EdgeNode node = serving.get();
+      EdgeNode node = createdNode.get();
       if (node != null) {
         node.drain().get(DRAIN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       }
       Runtime.getRuntime().halt(0);
     } catch (Exception e) {
-      System.err.println("the drain did not end: " + e);
+      System.err.println(
+          "graceful shutdown did not complete (limit " + DRAIN_TIMEOUT_SECONDS + " s): " + e);
     }
   }
 }
--- a/src/test/java/merlinrouter/node/NodeProcess.java
+++ b/src/test/java/merlinrouter/node/NodeProcess.java
@@ -21,14 +21,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** The program in a process of its own, whose signals and output lines a test can use. */
+/** Runs the program in its own process, so that a test can send signals and read its output. */
 final class NodeProcess implements AutoCloseable {
-  /** Starts of the lines that the program writes. */
+  /** Prefixes of the lines that the program writes. */
   static final String SERVING = "serving on ";
 
   static final String WARMED_UP = "warmed up with ";
-  static final String RELOAD_POSTPONED = "the configuration will be read again";
-  static final String RELOAD_FAILED = "the configuration stays as it was";
+  static final String RELOAD_POSTPONED = "configuration reload postponed";
+  static final String RELOAD_FAILED = "configuration reload failed";
 
   static final String HANGUP_IGNORED = "SIGHUP is ignored";
 
@@ -37,7 +37,7 @@
 
   private final Process process;
 
-  /** Lines that were written and not read yet; an empty one behind the last. */
+  /** Lines that were written and not read yet; an empty value marks the end of the output. */
   private final BlockingQueue<Optional<String>> unread = new LinkedBlockingQueue<>();
 
   private final List<String> read = new ArrayList<>();
@@ -55,12 +55,12 @@
     try (BufferedReader lines = new BufferedReader(output)) {
       lines.lines().forEach(line -> unread.add(Optional.of(line)));
     } catch (IOException | UncheckedIOException e) {
-      unread.add(Optional.of("the output cannot be read: " + e));
+      unread.add(Optional.of("cannot read the output: " + e));
     }
     unread.add(Optional.empty());
   }
 
-  /** Starts the program from the test's class path, with no flags of the JVM. */
+  /** Starts the program from the test's class path, without JVM flags. */
   static NodeProcess start(Path configFile, Map<String, String> environment) throws IOException {
     List<String> command =
         List.of(
@@ -89,12 +89,12 @@
   }
 
   /**
-   * Reads the next line of standard output or error; null at the end. Fails if none is written for
-   * a long time.
+   * Reads the next line of standard output or error; null at the end of the output. Fails if none
+   * is written within 60 s.
    */
   String readLine() throws InterruptedException {
     Optional<String> line = unread.poll(LINE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    assertNotNull(line, () -> "no further line after " + read);
+    assertNotNull(line, () -> "no line within " + LINE_TIMEOUT_SECONDS + " s after " + read);
     return lineOrEnd(line);
   }
 
@@ -107,7 +107,7 @@
     return line.get();
   }
 
-  /** The lines not read yet; the stream waits for further ones until the process ends. */
+  /** Returns a stream of the unread lines, which waits for more until the process ends. */
   Stream<String> lines() {
     return Stream.generate(this::takeLine).takeWhile(Objects::nonNull);
   }
@@ -120,22 +120,23 @@
     }
   }
 
-  /** Skips lines until one starts with {@code start}, and returns it. */
-  String awaitLine(String start) throws InterruptedException {
+  /** Reads lines until one starts with {@code prefix}, and returns that line. */
+  String awaitLine(String prefix) throws InterruptedException {
     String line = readLine();
-    while (line != null && !line.startsWith(start)) {
+    while (line != null && !line.startsWith(prefix)) {
       line = readLine();
     }
-    assertNotNull(line, () -> "the process ended before it wrote: " + start + ": " + read);
+    assertNotNull(
+        line, () -> "the process ended before a line with the prefix " + prefix + ": " + read);
     return line;
   }
 
-  /** Waits until the node serves and returns where. */
+  /** Waits until the node serves, and returns its address. */
   InetSocketAddress awaitServing() throws InterruptedException {
     return addressOf(awaitLine(SERVING));
   }
 
-  /** The address in a line that starts with {@link #SERVING}. */
+  /** Returns the address in a line that starts with {@link #SERVING}. */
   static InetSocketAddress addressOf(String line) {
     String[] hostAndPort = line.replaceAll(".*/", "").split(":");
     return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
@@ -147,7 +148,7 @@
     assertEquals(0, kill.waitFor());
   }
 
-  /** How many processes the program has started that still run. */
+  /** Returns how many descendants of the process are running. */
   long childCount() {
     return process.descendants().count();
   }
@@ -159,7 +160,7 @@
     return process.exitValue();
   }
 
-  /** Kills the process if it still runs. */
+  /** Kills the process if it is still running. */
   @Override
   public void close() {
     process.destroyForcibly();
