--- a/deploy/build-class-archive.sh
+++ b/deploy/build-class-archive.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Part of the build: runs an edge node for a moment and has the JVM archive the classes that it loaded (class-data
-# sharing), so that a start does not spend half of its CPU time on loading them. The node is its own endpoint,
-# discovery and counter here: all of them respond with 4xx, and the classes for calling them are loaded all the
-# same. Without an archive `run` still works, but the start is slower.
+# Part of the build: runs an edge node briefly and makes the JVM archive the classes that it has loaded (class-data
+# sharing), so that a start does not spend half of its CPU time on loading classes. The node is its own endpoint,
+# discovery and counter: all calls to them get 4xx responses, but the classes for making these calls are loaded.
+# Without the archive the `run` command of deploy/balancer.toml still works, but starts more slowly.
 set -u
 cd "$(dirname "$0")/.."
-# A port for each build, below the system's ephemeral ports, so that two builds may run at once.
+# A port derived from the process id, below the system's ephemeral ports, so that two builds may run concurrently.
 port=$((20000 + $$ % 10000))
 sed "s/127\.0\.0\.1:18093/127.0.0.1:$port/" deploy/class-archive-node.json > target/archive.json
 GW_CONFIG=target/archive.json java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:C1MaxInlineSize=8 \
