--- a/src/test/java/merlinrouter/node/DeploymentTest.java
+++ b/src/test/java/merlinrouter/node/DeploymentTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The deploy file's command, with the test's classes in place of the jar. */
+/** Runs the command of the deploy file, with the test's classes instead of the jar. */
 @Timeout(120)
 class DeploymentTest extends NodeFixture {
   private static final int FLEET_ENDPOINTS = 1_024;
@@ -58,9 +58,9 @@
     return process;
   }
 
-  /** A JVM that was started with SIGHUP ignored sets no handler for it. */
+  /** A JVM started with SIGHUP ignored sets no handler, so the command must reset the signal. */
   @Test
-  void hangupReloadsThoughIgnoredAtTheStart() throws Exception {
+  void hangupReloadsConfigurationThoughIgnoredAtTheStart() throws Exception {
     Path file = folder.resolve("config.json");
     ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
     String config = configJson();
@@ -75,9 +75,9 @@
     assertEquals(0, process.terminate());
   }
 
-  /** The configuration is a named pipe, so that the test decides when it has been read. */
+  /** The configuration is a named pipe, so that the test controls when its read completes. */
   @Test
-  void hangupWhileConfigurationIsReadHasItReadAgain() throws Exception {
+  void hangupWhileConfigurationIsReadCausesAnotherRead() throws Exception {
     Path file = folder.resolve("config.pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
     ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
@@ -85,11 +85,11 @@
     NodeProcess process = startScript(runCommand(), file);
     Files.writeString(file, config);
     process.awaitLine(NodeProcess.WARMED_UP);
-    // Opening a pipe for writing waits for its reader: the node has begun its second read.
+    // Opening a pipe for writing blocks until it is opened for reading: the second read has begun.
     try (var pipe = Files.newOutputStream(file)) {
       process.sendHangup();
       process.awaitLine(NodeProcess.RELOAD_POSTPONED);
-      // Who opens the name from now on reads the new file; the second read goes on with the pipe.
+      // Opening the path from now on yields the new file; the second read continues with the pipe.
       Path changed =
           Files.writeString(
               folder.resolve("changed"),
@@ -101,7 +101,7 @@
     process.terminate();
   }
 
-  private static String[] fleet(int endpoints, String phase, ScriptedServer last) {
+  private static String[] fleetEntries(int endpoints, String phase, ScriptedServer last) {
     String[] entries = new String[endpoints];
     for (int i = 0; i < endpoints; i++) {
       String address =
@@ -113,24 +113,24 @@
     return entries;
   }
 
-  /** Sends the whole fleet, indented and in many chunks, then the removal of all but the last. */
+  /** Sends the whole fleet, indented and in many chunks, then removals of all but the last. */
   private static void sendFleetAndRemovals(ScriptedServer.Message watch, ScriptedServer last)
       throws IOException {
     watch.respond(ScriptedServer.CHUNKED_RESPONSE_HEAD);
     String list =
         new ObjectMapper()
-            .readTree(fullListJson(6, fleet(FLEET_ENDPOINTS, "Ready", last)))
+            .readTree(fullListJson(6, fleetEntries(FLEET_ENDPOINTS, "Ready", last)))
             .toPrettyString()
             .replace("\n", "\n        ");
     for (int start = 0; start < list.length(); start += LIST_CHUNK_BYTES) {
       int end = Math.min(list.length(), start + LIST_CHUNK_BYTES);
       watch.respond(ScriptedServer.chunk(list.substring(start, end)));
     }
-    String removals = updateJson(7, fleet(FLEET_ENDPOINTS - 1, "Gone", last));
+    String removals = updateJson(7, fleetEntries(FLEET_ENDPOINTS - 1, "Gone", last));
     watch.respond(ScriptedServer.chunk("\n" + removals + "\n"));
   }
 
-  /** The largest fleet that no limit may exclude must fit the heap that the command sets. */
+  /** The largest fleet that must be supported has to fit the heap size that the command sets. */
   @Test
   void fleetOf1024EndpointsAnd120NodesFitsTheHeap() throws Exception {
     ScriptedServer server = startOkServer("x");
@@ -138,11 +138,12 @@
     discovery = startServer(request -> sendFleetAndRemovals(request, server));
     Files.writeString(
         file,
-        withSetting(configJson(fleet(FLEET_ENDPOINTS, "Ready", server)), "siblings", FLEET_NODES));
+        withSetting(
+            configJson(fleetEntries(FLEET_ENDPOINTS, "Ready", server)), "siblings", FLEET_NODES));
     NodeProcess process = startScript(runCommand(), file);
     Socket client = connect(process.awaitServing());
     resources.add(client);
-    // Requests are served for certain only when both the list and the update have been read.
+    // Requests are certain to be served only after both the list and the update have been read.
     String status = "";
     for (int i = 0; i < MAX_REQUESTS_UNTIL_LISTED && !status.equals("200"); i++) {
       status = requestStatus(client, "f-" + i);
@@ -152,11 +153,11 @@
     }
   }
 
-  /** While discovery is silent, idle clients must leave the descriptors that the node needs. */
+  /** While discovery is silent, idle clients must leave enough descriptors for the node. */
   @Test
   void idleClientsLeaveDescriptorsForDiscoveryCounterAndEndpoints() throws Exception {
     ScriptedServer server = startOkServer("x");
-    CompletableFuture<Void> discoveryBack = new CompletableFuture<>();
+    CompletableFuture<Void> discoveryResumed = new CompletableFuture<>();
     CompletableFuture<Void> counterCalled = new CompletableFuture<>();
     counterScript =
         request -> {
@@ -166,28 +167,28 @@
     discovery =
         startServer(
             request -> {
-              discoveryBack.join();
+              discoveryResumed.join();
               request.respond(
                   watchResponse(fullListJson(6, readyEndpointJson("s-1", server.address()))));
             });
     Path file = folder.resolve("config.json");
     Files.writeString(file, withSetting(configJson(), "sockets", MAX_DESCRIPTORS));
     NodeProcess process = startScript("ulimit -n " + MAX_DESCRIPTORS + "; " + runCommand(), file);
-    // A node that hangs is killed, so that the reads below fail instead of waiting.
+    // A hanging node is killed, so that the reads below fail instead of blocking.
     CompletableFuture.delayedExecutor(MAX_TEST_SECONDS, TimeUnit.SECONDS).execute(process::close);
     InetSocketAddress node = process.awaitServing();
     BlockingQueue<String> lines = collectLines(process);
     for (int i = 0; i < IDLE_CLIENTS; i++) {
       openIdleClient(node);
     }
-    discoveryBack.complete(null);
+    discoveryResumed.complete(null);
     requestUntilServed(node);
     counterCalled.get();
     List<String> written = new ArrayList<>(lines);
     assertFalse(written.stream().anyMatch(line -> line.contains("open files")), written::toString);
   }
 
-  /** Reads the process's output on a thread of its own, so that the process never waits for it. */
+  /** Reads the process's output on a separate thread, so that the process never blocks on it. */
   private static BlockingQueue<String> collectLines(NodeProcess process) {
     BlockingQueue<String> lines = new LinkedBlockingQueue<>();
     Thread reader = new Thread(() -> process.lines().forEach(lines::add));
@@ -202,7 +203,7 @@
     return client;
   }
 
-  /** Sends requests, each on a new connection and beside one more idle client, until one is 200. */
+  /** Sends requests, each on a new connection and after one more idle client, until a 200. */
   private void requestUntilServed(InetSocketAddress node) throws IOException {
     String status = "";
     for (int i = 0; !status.equals("200"); i++) {
--- a/src/test/java/merlinrouter/node/EdgeNodeTest.java
+++ b/src/test/java/merlinrouter/node/EdgeNodeTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Forwarding between clients and scripted servers; each test waits for events, never for a time.
+ * Forwarding between clients and scripted servers. Each test waits for events, never for a fixed
+ * time.
  */
 @Timeout(120)
 class EdgeNodeTest extends NodeFixture {
@@ -40,7 +41,7 @@
     assertTrue(server.endedConnections.isEmpty(), "the second request must reuse the connection");
   }
 
-  /** Unlike later requests, the first one waits for its connect. */
+  /** Unlike later requests, the first one waits until its connection is established. */
   @Test
   void theFirstRequestOnANewConnectionIsServed() throws Exception {
     assertEquals("200", requestStatus(connect(startNode(startOkServer("x"))), "t-1"));
@@ -80,7 +81,7 @@
     }
   }
 
-  /** It fails instead of being rejected, since a rejection invites the client to retry. */
+  /** The request is failed and not rejected, because a client may safely retry a rejected one. */
   @Test
   void nonIdempotentRequestIsNotRetriedIfItMayHaveBeenExecuted() throws Exception {
     for (String scripted :
@@ -89,7 +90,7 @@
             "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
             "",
-            "HTTP/1.1 200 OK\r\n\r\nno end told")) {
+            "HTTP/1.1 200 OK\r\n\r\nno length")) {
       ScriptedServer server =
           startServer(
               request -> {
@@ -104,11 +105,11 @@
       writeRequest(client, "POST /api", requestHeaders("t-1", "strict", "20000"), "book");
       assertEquals("502", readStatus(client), scripted);
       server.awaitRequest();
-      assertTrue(server.received.isEmpty(), "it must have been sent once: " + scripted);
+      assertTrue(server.received.isEmpty(), "the request must be sent only once: " + scripted);
     }
   }
 
-  /** Else requests with large bodies are refused at half of the room that there is for them. */
+  /** If a body were counted twice, large requests would be refused at half of the budget. */
   @Test
   void bodyOfAnOpenRequestIsCountedOnceAndNotAfterItsEnd() throws Exception {
     CompletableFuture<Void> proceed = new CompletableFuture<>();
--- a/src/test/java/merlinrouter/node/GracefulShutdownTest.java
+++ b/src/test/java/merlinrouter/node/GracefulShutdownTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A drain with requests in flight and connections that are still coming. */
+/** A drain with requests in flight and clients that are still connecting. */
 @Timeout(120)
 class GracefulShutdownTest extends NodeFixture {
   @Test
@@ -25,7 +25,7 @@
     writeKeyedRequest(busy, "t-1");
     server.awaitRequest();
     CompletableFuture<Void> drained = node.drain();
-    // Clients go on connecting for a while after SIGTERM, and their requests must get responses.
+    // Clients keep connecting for a while after SIGTERM, and their requests must get responses.
     Socket late = connect(node);
     writeKeyedRequest(late, "t-2");
     server.awaitRequest();
--- a/src/test/java/merlinrouter/node/LateResponseTest.java
+++ b/src/test/java/merlinrouter/node/LateResponseTest.java
@@ -13,7 +13,7 @@
 import merlinrouter.node.transport.EventLoops;
 import org.junit.jupiter.api.Test;
 
-/** A response after its client's deadline is told with its request's way and what delayed it. */
+/** The log line of a response after its client's deadline has the request's stages and stalls. */
 class LateResponseTest extends EventLoopFixture {
   private static final long STALL_MILLIS = 60;
 
@@ -32,7 +32,7 @@
         () -> "logged: " + output);
   }
 
-  /** The client's deadline lies in the past: the response is late however fast the machine is. */
+  /** The client's deadline has already passed, so the response is late on any machine. */
   private static void respondLateBehindStall(EdgeNode node) throws Exception {
     long arrivedAtNanos = System.nanoTime() - TimeUnit.SECONDS.toNanos(1);
     RequestTimeline timeline =
--- a/src/test/java/merlinrouter/node/NodeFixture.java
+++ b/src/test/java/merlinrouter/node/NodeFixture.java
@@ -20,24 +20,24 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A node in the test's process, with scripted servers as its endpoints, discovery and counter, and
- * plain sockets as its clients, all on loopback.
+ * Runs a node in the test's process, with scripted servers as its endpoints, discovery and counter,
+ * and plain sockets as its clients, all on loopback.
  */
 @Timeout(120)
 public abstract class NodeFixture {
-  /** A watch's response that stays open and tells no change. */
+  /** The response to a watch: it stays open and reports no change. */
   static final String UNCHANGED_LIST =
       ScriptedServer.CHUNKED_RESPONSE_HEAD + ScriptedServer.chunk("\n");
 
   private static final int CLIENT_TIMEOUT_MILLIS = 60_000;
 
-  /** What a test has opened; it is closed in reverse order behind the test. */
+  /** The resources that a test has opened; closed in reverse order after the test. */
   final List<AutoCloseable> resources = new ArrayList<>();
 
   ScriptedServer discovery;
   ScriptedServer counter;
 
-  /** The counter's script, which a test may replace. */
+  /** The script of the counter, which a test may replace. */
   volatile ScriptedServer.Script counterScript =
       request -> request.respond(ScriptedServer.okResponse("", "1"));
 
@@ -60,12 +60,12 @@
     return server;
   }
 
-  /** A server that responds to each request with 200 and the same body. */
+  /** Starts a server that responds to each request with 200 and the same body. */
   ScriptedServer startOkServer(String body) throws IOException {
     return startServer(request -> request.respond(ScriptedServer.okResponse("", body)));
   }
 
-  /** Like {@link #startOkServer}, but there is no response before {@code proceed} completes. */
+  /** As {@link #startOkServer(String)}, but responds only once {@code proceed} has completed. */
   ScriptedServer startOkServer(String body, CompletableFuture<Void> proceed) throws IOException {
     return startServer(
         request -> {
@@ -74,7 +74,7 @@
         });
   }
 
-  /** An entry of an endpoint list, as discovery sends it. */
+  /** Returns an entry of an endpoint list, as discovery sends it. */
   static String endpointJson(String id, String address, String phase, long upSinceMillis) {
     return "{\"id\":\""
         + id
@@ -89,17 +89,17 @@
         + "}";
   }
 
-  /** An entry of an endpoint that is ready and not in slow start. */
+  /** Returns the entry of an endpoint that is ready and not in slow start. */
   static String readyEndpointJson(String id, String address) {
     return endpointJson(id, address, "Ready", 0);
   }
 
-  /** A list that names all endpoints. */
+  /** Returns a list of all endpoints. */
   static String fullListJson(int revision, String... endpoints) {
     return listJson(revision, true, endpoints);
   }
 
-  /** A list of those endpoints only that have changed. */
+  /** Returns an update, which lists only the endpoints that have changed. */
   static String updateJson(int revision, String... endpoints) {
     return listJson(revision, false, endpoints);
   }
@@ -114,12 +114,12 @@
         + "]}";
   }
 
-  /** What a watch sends first: its response's head and one list or update. */
+  /** Returns the start of a response to a watch: its head and one list or update. */
   static String watchResponse(String list) {
     return ScriptedServer.CHUNKED_RESPONSE_HEAD + ScriptedServer.chunk(list + "\n");
   }
 
-  /** The configuration of a node that starts with these endpoints. */
+  /** Returns the configuration of a node that starts with the given endpoints. */
   String configJson(String... endpoints) throws IOException {
     return Files.readString(Path.of("src/test/resources/node.json"))
         .replace("DISCOVERY", discovery.address())
@@ -127,14 +127,14 @@
         .replace("MEMBERS", String.join(",", endpoints));
   }
 
-  /** Sets a number wherever the configuration has this key; fails if that changes nothing. */
+  /** Sets the number at every occurrence of a key; fails if the configuration does not change. */
   static String withSetting(String configJson, String key, long value) {
     String changed = configJson.replaceAll("\"" + key + "\": \\d+", "\"" + key + "\": " + value);
-    assertNotEquals(configJson, changed, key + " is missing or has this value");
+    assertNotEquals(configJson, changed, key + " is missing or already has this value");
     return changed;
   }
 
-  /** Starts a node with these servers as its endpoints {@code s-0}, {@code s-1}, and so on. */
+  /** Starts a node with the given servers as endpoints {@code s-0}, {@code s-1}, and so on. */
   EdgeNode startNode(ScriptedServer... servers) throws Exception {
     String[] endpoints = new String[servers.length];
     for (int i = 0; i < endpoints.length; i++) {
@@ -157,7 +157,7 @@
     return client;
   }
 
-  /** Opens a client connection that the caller closes. */
+  /** Opens a client connection, which the caller must close. */
   static Socket connect(InetSocketAddress node) throws IOException {
     Socket client = new Socket();
     client.setSoTimeout(CLIENT_TIMEOUT_MILLIS);
@@ -165,7 +165,7 @@
     return client;
   }
 
-  /** The headers of a valid request; class {@code order} gets an idempotency key. */
+  /** Returns the headers of a valid request; class {@code order} gets an idempotency key. */
   static Map<String, String> requestHeaders(
       String requestId, String requestClass, String timeoutMillis) {
     Map<String, String> headers =
@@ -203,12 +203,12 @@
     writeText(client, request);
   }
 
-  /** Writes a part of a request, or several requests. */
+  /** Writes a text, which may be a part of a request or several requests. */
   static void writeText(Socket client, String text) throws IOException {
     client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The request line and the headers, without the empty line that ends them. */
+  /** Returns the request line and the headers, without the empty line that ends them. */
   static String requestHead(String methodAndPath, Map<String, String> headers) {
     StringBuilder head = new StringBuilder(methodAndPath).append(" HTTP/1.1\r\n");
     headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
@@ -220,7 +220,7 @@
     writeRequest(client, "POST /api?slot=4", requestHeaders(requestId, "order", "20000"), "book");
   }
 
-  /** The status code of a response; fails if the connection ended instead. */
+  /** Returns the status code of a response; fails if the connection ended without one. */
   static String status(ScriptedServer.Message response) {
     assertNotNull(response, "the connection ended without a response");
     return response.startLine().split(" ")[1];
--- a/src/test/java/merlinrouter/node/ReloadTest.java
+++ b/src/test/java/merlinrouter/node/ReloadTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new configuration while the node serves. */
+/** Reload of the configuration while the node serves. */
 @Timeout(120)
 class ReloadTest extends NodeFixture {
   @TempDir Path folder;
@@ -46,12 +46,12 @@
     proceed.complete(null);
     assertNotNull(
         previous.endedConnections.poll(60, TimeUnit.SECONDS),
-        "connections to an endpoint that the new list leaves out must be closed");
+        "connections to an endpoint missing from the new list must be closed");
     writeKeyedRequest(client, "t-2");
     assertEquals("new", ScriptedServer.readMessage(client).body());
   }
 
-  /** SIGHUP ends a JVM that has no handler for it, so the node runs in a process of its own. */
+  /** SIGHUP terminates a JVM without a handler for it, so the node runs in its own process. */
   @Test
   void hangupReloadsConfigurationAndInvalidFileChangesNothing() throws Exception {
     Path file = folder.resolve("config.json");
@@ -73,7 +73,7 @@
 
   /** A JVM that inherits SIGHUP as ignored, as under nohup, can never reload. */
   @Test
-  void startWithHangupIgnoredSaysSo() throws Exception {
+  void ignoredHangupIsLoggedAtTheStart() throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, configJson());
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
--- a/src/test/java/merlinrouter/node/ShutdownRaceTest.java
+++ b/src/test/java/merlinrouter/node/ShutdownRaceTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node is drained or reloaded while it starts, or as its last clients connect. */
+/** Drains and reloads during the start of a node, and drains while the last clients connect. */
 @Timeout(120)
 class ShutdownRaceTest extends EventLoopFixture {
   private static final long STALL_BEYOND_GRACE_MILLIS = 700;
 
-  /** Much longer than a process has after SIGTERM (3.7 s), and less than a request's timeout. */
+  /** Much longer than the 3.7 s from SIGTERM to SIGKILL, and less than a request's timeout. */
   private static final long MAX_RESPONSE_MILLIS = 15_000;
 
   private EdgeNode createNode(String configJson) throws Exception {
@@ -30,7 +30,7 @@
     return node;
   }
 
-  /** A drain that comes before the listener is bound must end, and keep the node from serving. */
+  /** A drain before the listening socket is bound must complete and prevent serving. */
   @Test
   void nodeDrainedBeforeItsStartNeverServes() throws Exception {
     EdgeNode node = createNode(configJson());
@@ -50,7 +50,7 @@
     assertFalse(callOnEventLoop(node, node::isListening));
   }
 
-  /** The new addresses come between the read of the configuration and the start. */
+  /** The reload happens after the configuration is read and before the node starts. */
   @Test
   void reloadBeforeTheStartMovesTheFirstWatch() throws Exception {
     ScriptedServer newDiscovery = startServer(request -> request.respond(UNCHANGED_LIST));
@@ -63,7 +63,7 @@
     awaitOnEventLoop(node, () -> node.discovery().openWatchCount() == 1);
   }
 
-  /** What a client does within the grace period counts, however late the event loop sees it. */
+  /** Connects and requests within the grace period count, however late the loop handles them. */
   @Test
   void requestsBeforeTheGracePeriodEndsAreServedDespiteEventLoopStall() throws Exception {
     EdgeNode node = startNode(startOkServer("x"));
@@ -87,7 +87,7 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** A poll accepts 16 connections; those behind them must not be closed unread. */
+  /** A poll accepts 16 connections; the ones still in the backlog must not be closed unread. */
   @Test
   void allClientsConnectedBeforeTheGracePeriodEndsGetResponses() throws Exception {
     EdgeNode node = startNode(startOkServer("x"));
@@ -113,7 +113,7 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** Else a slowly sent request is open when the process is killed, and gets no response at all. */
+  /** Otherwise a slowly sent request is open when the process is killed, and gets no response. */
   @Test
   void requestCompletedDuringShutdownIsAnsweredBeforeTheProcessMayBeKilled() throws Exception {
     EdgeNode node = startNode(startOkServer("x", new CompletableFuture<>()));
@@ -129,12 +129,16 @@
         .getOutputStream()
         .write(request, request.length / 2, request.length - request.length / 2);
     readStatus(client);
-    long answeredAfterMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
-    assertTrue(answeredAfterMillis < MAX_RESPONSE_MILLIS, answeredAfterMillis + " ms");
+    long respondedAfterMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
+    assertTrue(
+        respondedAfterMillis < MAX_RESPONSE_MILLIS,
+        "response after " + respondedAfterMillis + " ms, limit " + MAX_RESPONSE_MILLIS + " ms");
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** The decoder holds none of these bytes any more: a whole line of a head is parsed at once. */
+  /**
+   * The decoder no longer buffers these bytes, because it parses each line of a head immediately.
+   */
   @Test
   void drainDoesNotCloseConnectionThatHasReceivedTheFirstLineOfRequest() throws Exception {
     EdgeNode node = startNode(startOkServer("x"));
@@ -152,7 +156,7 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** A system may queue one more connection than the backlog that it is asked for. */
+  /** The operating system may queue one connection more than the requested backlog. */
   @Test
   void drainServesFullBacklog() throws Exception {
     int backlog = 512;
@@ -160,7 +164,7 @@
     EdgeNode node = startNode(config);
     InetSocketAddress address = (InetSocketAddress) node.address();
     CompletableFuture<Void> drained = callOnEventLoop(node, node::drain);
-    // The grace period ends in the same turn of the event loop, with no poll between.
+    // The grace period ends in the same turn of the event loop, without a poll in between.
     List<Socket> clients =
         node.loop()
             .schedule(
--- a/src/test/java/merlinrouter/node/WarmUpTest.java
+++ b/src/test/java/merlinrouter/node/WarmUpTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The JVM warm-up before a node serves, which no other process notices. */
+/** The JVM warm-up before a node serves, which makes no connection to other processes. */
 class WarmUpTest extends NodeFixture {
   @TempDir Path folder;
 
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void requestsPassTheWholeNodeAndReachNoPeer() throws Exception {
+  void requestsAreHandledByTheWholeNodeAndReachNoPeer() throws Exception {
     ScriptedServer server = startOkServer("real");
     NodeConfig config =
         NodeConfigReader.parse(configJson(readyEndpointJson("s-0", server.address())));
@@ -34,11 +34,11 @@
     assertNull(server.received.poll());
     assertNull(counter.received.poll());
     assertNull(discovery.received.poll());
-    assertEquals(0, fileCount(), "it must leave no file");
+    assertEquals(0, fileCount(), "the warm-up must leave no files");
   }
 
   @Test
-  void itEndsWhenItsTimeIsUpAndIsSkippedWithoutAFolder() throws Exception {
+  void warmUpEndsAtItsTimeLimitAndIsSkippedWithoutAFolder() throws Exception {
     NodeConfig config = NodeConfigReader.parse(configJson());
     WarmUp.run(config, Integer.MAX_VALUE, 1, folder);
     assertEquals(0, fileCount());
@@ -47,7 +47,7 @@
 
   /** A node that serves without a warm-up rejects most of its first requests. */
   @Test
-  void theProgramWarmsUpBeforeItServes() throws Exception {
+  void processWarmsUpBeforeItServes() throws Exception {
     ScriptedServer server = startOkServer("real");
     Path file = folder.resolve("config.json");
     Files.writeString(file, configJson(readyEndpointJson("s-0", server.address())));
@@ -55,7 +55,8 @@
     resources.add(process);
     String line = process.readLine();
     while (line != null && !line.startsWith(NodeProcess.WARMED_UP)) {
-      assertTrue(!line.startsWith(NodeProcess.SERVING), "it serves without a warm-up");
+      assertTrue(
+          !line.startsWith(NodeProcess.SERVING), "the process serves without a warm-up: " + line);
       line = process.readLine();
     }
     assertTrue(Integer.parseInt(line.split(" ")[3]) > 0, line);
@@ -65,6 +66,6 @@
       assertEquals("200", requestStatus(client, "t-1"));
     }
     assertEquals(0, process.terminate());
-    assertEquals(1, fileCount(), "only the configuration is left");
+    assertEquals(1, fileCount(), "only the configuration file must remain");
   }
 }
