--- a/src/main/java/merlinrouter/node/counter/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -39,7 +39,7 @@
     long connectTimeoutMillis = TimeUnit.NANOSECONDS.toMillis(config.connectTimeoutNanos());
     bootstrap =
         // All addresses are of one kind, TCP or Unix; discovery has one in any configuration.
-        Transport.connecting(loop, config.discovery())
+        Transport.clientBootstrap(loop, config.discovery())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMillis));
     for (int i = 0; i < SHARDS; i++) {
       shards[i] = new CounterShard(loop, callTimeoutNanos, this::connect);
--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -79,7 +79,7 @@
     address = config.discovery();
     timeouts = WatchTimeouts.of(config.settings().limits().endpointSubscription());
     bootstrap =
-        Transport.connecting(loop, config.discovery())
+        Transport.clientBootstrap(loop, config.discovery())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(initializer(config.names()));
   }
--- a/src/main/java/merlinrouter/node/downstream/ClientListener.java
+++ b/src/main/java/merlinrouter/node/downstream/ClientListener.java
@@ -93,7 +93,7 @@
 
   private void tryBind(CompletableFuture<Void> bound) {
     acceptThrottle = new AcceptThrottle(handler.log(), handler::previousPollNanos);
-    Transport.listening(loop, listenAddress)
+    Transport.serverBootstrap(loop, listenAddress)
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .childOption(
             ChannelOption.RECVBUF_ALLOCATOR,
--- a/src/main/java/merlinrouter/node/transport/Transport.java
+++ b/src/main/java/merlinrouter/node/transport/Transport.java
@@ -23,7 +23,7 @@
   private Transport() {}
 
   /** Returns a bootstrap for connections to addresses of the kind of {@code address}. */
-  public static Bootstrap connecting(EventLoop loop, SocketAddress address) {
+  public static Bootstrap clientBootstrap(EventLoop loop, SocketAddress address) {
     Bootstrap bootstrap = new Bootstrap().group(loop);
     return address instanceof UnixDomainSocketAddress
         ? bootstrap.channel(NioDomainSocketChannel.class)
@@ -31,7 +31,7 @@
   }
 
   /** Returns a bootstrap for listening at an address of the kind of {@code address}. */
-  public static ServerBootstrap listening(EventLoop loop, SocketAddress address) {
+  public static ServerBootstrap serverBootstrap(EventLoop loop, SocketAddress address) {
     ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
     return address instanceof UnixDomainSocketAddress
         ? bootstrap.channel(NioServerDomainSocketChannel.class)
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -41,7 +41,7 @@
     double maxChargedUnits = config.settings().counter().maxRequestUnits();
     bootstrap =
         // All addresses are of one kind, TCP or Unix; discovery has one in any configuration.
-        Transport.connecting(loop, config.discovery())
+        Transport.clientBootstrap(loop, config.discovery())
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
--- a/src/main/java/merlinrouter/node/warmup/StubClients.java
+++ b/src/main/java/merlinrouter/node/warmup/StubClients.java
@@ -41,7 +41,7 @@
 
   /** Connects one more client; may be called on any thread. */
   void connect(SocketAddress address) {
-    Transport.connecting(loop, address)
+    Transport.clientBootstrap(loop, address)
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
--- a/src/main/java/merlinrouter/node/warmup/StubServer.java
+++ b/src/main/java/merlinrouter/node/warmup/StubServer.java
@@ -51,7 +51,7 @@
             channel.pipeline().addLast(new HttpServerCodec(), new RequestHandler());
           }
         };
-    Transport.listening(loop, address).childHandler(initializer).bind(address).sync();
+    Transport.serverBootstrap(loop, address).childHandler(initializer).bind(address).sync();
   }
 
   private HttpResponseStatus nextStatus() {
--- a/src/test/java/merlinrouter/node/transport/EventLoopShutdownTest.java
+++ b/src/test/java/merlinrouter/node/transport/EventLoopShutdownTest.java
@@ -21,7 +21,7 @@
     EventLoopGroup group = EventLoops.newSingleLoopGroup(NioIoHandler.newFactory());
     InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     Channel listening =
-        Transport.listening(group.next(), anyPort)
+        Transport.serverBootstrap(group.next(), anyPort)
             .childHandler(new ChannelInboundHandlerAdapter())
             .bind(anyPort)
             .sync()
