--- a/src/main/java/merlinrouter/node/counter/CounterResponse.java
+++ b/src/main/java/merlinrouter/node/counter/CounterResponse.java
@@ -34,7 +34,7 @@
 
   /** The amount was added. A malformed total leaves it unknown, and the connection is suspect. */
   private static CounterResponse added(ByteBuf body, boolean keepAlive) {
-    double total = StrictDecimal.number(body.toString(StandardCharsets.US_ASCII).strip());
+    double total = StrictDecimal.parseFinite(body.toString(StandardCharsets.US_ASCII).strip());
     return Double.isNaN(total)
         ? new CounterResponse(Outcome.RESET, 0, false)
         : new CounterResponse(Outcome.OK, total, keepAlive);
--- a/src/main/java/merlinrouter/node/downstream/QuotaHeader.java
+++ b/src/main/java/merlinrouter/node/downstream/QuotaHeader.java
@@ -33,7 +33,7 @@
    * @throws InvalidRequestException if this is no number above 0 and up to {@code maxUnits}
    */
   double units(double maxUnits) throws InvalidRequestException {
-    double units = StrictDecimal.amount(fields.get(ClientProtocol.QUOTA_UNITS), maxUnits);
+    double units = StrictDecimal.parsePositive(fields.get(ClientProtocol.QUOTA_UNITS), maxUnits);
     if (Double.isNaN(units)) {
       throw InvalidRequestException.badRequest(
           label(ClientProtocol.QUOTA_UNITS)
--- a/src/main/java/merlinrouter/node/http/StrictDecimal.java
+++ b/src/main/java/merlinrouter/node/http/StrictDecimal.java
@@ -12,7 +12,7 @@
   private StrictDecimal() {}
 
   /** Parses a finite decimal number; returns NaN for any other text. */
-  public static double number(String text) {
+  public static double parseFinite(String text) {
     return parse(text, SIGNED_CHARACTERS);
   }
 
@@ -20,7 +20,7 @@
    * Parses a number above 0 without sign or exponent, and no larger than {@code max}; returns NaN
    * for any other text and for null.
    */
-  public static double amount(String text, double max) {
+  public static double parsePositive(String text, double max) {
     double value = parse(text, UNSIGNED_CHARACTERS);
     return value > 0 && value <= max ? value : Double.NaN;
   }
--- a/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
@@ -46,7 +46,7 @@
 
   private static double chargedUnitsOf(HttpResponse head, double maxChargedUnits) {
     String text = head.headers().get(EndpointProtocol.CHARGED_UNITS);
-    double units = StrictDecimal.amount(text, maxChargedUnits);
+    double units = StrictDecimal.parsePositive(text, maxChargedUnits);
     return Double.isNaN(units) ? 0 : units;
   }
 }
--- a/src/test/java/merlinrouter/node/MalformedResponseTest.java
+++ b/src/test/java/merlinrouter/node/MalformedResponseTest.java
@@ -123,8 +123,8 @@
 
   @Test
   void onlyPlainDecimalNumbersWithinBoundsAreAccepted() {
-    assertEquals(3, StrictDecimal.amount("3", 8));
-    assertEquals(2.5, StrictDecimal.amount("2.5", 8));
+    assertEquals(3, StrictDecimal.parsePositive("3", 8));
+    assertEquals(2.5, StrictDecimal.parsePositive("2.5", 8));
     for (String invalid :
         List.of(
             "",
@@ -140,12 +140,12 @@
             "1.2.3",
             " 1",
             "\u0661")) {
-      assertTrue(Double.isNaN(StrictDecimal.amount(invalid, 8)), invalid);
+      assertTrue(Double.isNaN(StrictDecimal.parsePositive(invalid, 8)), invalid);
     }
-    assertTrue(Double.isNaN(StrictDecimal.amount(null, 8)));
-    assertEquals(-1.5e7, StrictDecimal.number("-1.5e7"));
+    assertTrue(Double.isNaN(StrictDecimal.parsePositive(null, 8)));
+    assertEquals(-1.5e7, StrictDecimal.parseFinite("-1.5e7"));
     for (String invalid : List.of("1d", "0x1p1", "NaN", "1e999", "e", "")) {
-      assertTrue(Double.isNaN(StrictDecimal.number(invalid)), invalid);
+      assertTrue(Double.isNaN(StrictDecimal.parseFinite(invalid)), invalid);
     }
   }
 }
