--- a/src/main/java/merlinrouter/node/monitoring/LoopStall.java
+++ b/src/main/java/merlinrouter/node/monitoring/LoopStall.java
@@ -20,7 +20,7 @@
   String describe() {
     return millis(turn.stalledNanos())
         + " ms (overslept "
-        + millis(turn.oversleptNanos())
+        + millis(turn.pollOverrunNanos())
         + ", sockets "
         + millis(turn.socketNanos())
         + ", tasks "
--- a/src/main/java/merlinrouter/node/transport/TimedIoHandler.java
+++ b/src/main/java/merlinrouter/node/transport/TimedIoHandler.java
@@ -15,7 +15,7 @@
   private final TimedContext context = new TimedContext();
   private boolean turned;
   private long socketsHandledAtNanos;
-  private long oversleptNanos;
+  private long pollOverrunNanos;
   private long socketNanos;
 
   /** Creates a handler that leaves the sockets to {@code sockets}. */
@@ -29,7 +29,7 @@
     long startedAtNanos = System.nanoTime();
     if (turned) {
       long taskNanos = startedAtNanos - socketsHandledAtNanos;
-      listener.turnEnded(new LoopTurn(startedAtNanos, oversleptNanos, socketNanos, taskNanos));
+      listener.turnEnded(new LoopTurn(startedAtNanos, pollOverrunNanos, socketNanos, taskNanos));
     }
     turned = true;
     return poll(loopContext);
@@ -44,7 +44,7 @@
     final int handled = sockets.run(context);
     socketsHandledAtNanos = System.nanoTime();
     long waitedNanos = socketsHandledAtNanos - startedAtNanos - socketNanos;
-    oversleptNanos = Math.max(0, waitedNanos - mayWaitNanos);
+    pollOverrunNanos = Math.max(0, waitedNanos - mayWaitNanos);
     return handled;
   }
 
--- a/src/test/java/merlinrouter/node/transport/TimedIoHandlerTest.java
+++ b/src/test/java/merlinrouter/node/transport/TimedIoHandlerTest.java
@@ -45,9 +45,9 @@
     long activeNanos =
         turns.stream().mapToLong(turn -> turn.socketNanos() + turn.taskNanos()).sum();
     long spanNanos = turns.get(turns.size() - 1).endedAtNanos() - turns.get(0).endedAtNanos();
-    long oversleptNanos = turns.stream().mapToLong(LoopTurn::oversleptNanos).sum();
+    long pollOverrunNanos = turns.stream().mapToLong(LoopTurn::pollOverrunNanos).sum();
     assertTrue(
-        spanNanos - activeNanos - oversleptNanos >= STALL_NANOS,
+        spanNanos - activeNanos - pollOverrunNanos >= STALL_NANOS,
         () -> "the wait counts as a stall in " + turns);
   }
 
