--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -58,7 +58,7 @@
   }
 
   /** How many connections are open or being opened. */
-  int connections() {
+  int connectionCount() {
     return connections;
   }
 
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -102,7 +102,7 @@
    * @return whether another connection may be opened
    */
   private boolean makeRoom() {
-    if (connector.connections() < maxConnections) {
+    if (connector.connectionCount() < maxConnections) {
       return true;
     }
     for (EndpointPool pool : pools.all()) {
@@ -114,12 +114,12 @@
   }
 
   /** How many connections to endpoints are open or being opened. */
-  public int connections() {
-    return connector.connections();
+  public int connectionCount() {
+    return connector.connectionCount();
   }
 
   /** How many connections are idle. */
-  public int idle() {
+  public int idleConnectionCount() {
     return pools.all().stream().mapToInt(EndpointPool::idleCount).sum();
   }
 
--- a/src/test/java/merlinrouter/node/AttemptRaceTest.java
+++ b/src/test/java/merlinrouter/node/AttemptRaceTest.java
@@ -23,7 +23,7 @@
             });
     EdgeNode node = startNode(server);
     assertEquals("200", requestStatus(connect(node), "t-1"));
-    awaitOnEventLoop(node, () -> node.pool().idle() == 1);
+    awaitOnEventLoop(node, () -> node.pool().idleConnectionCount() == 1);
     CompletableFuture<String> response =
         callOnEventLoop(
             node,
--- a/src/test/java/merlinrouter/node/ClientRaceTest.java
+++ b/src/test/java/merlinrouter/node/ClientRaceTest.java
@@ -63,11 +63,11 @@
                 60_000_000_000L));
     Socket client = connect(node);
     writeIdempotentRequest(client, "t-1");
-    awaitOnEventLoop(node, () -> node.pool().connections() == 1);
+    awaitOnEventLoop(node, () -> node.pool().connectionCount() == 1);
     client.close();
     awaitAllDisconnected(node);
     CompletableFuture<ScriptedServer.Message> firstRequest = server.acceptAll();
-    awaitOnEventLoop(node, () -> node.pool().idle() == 1 || firstRequest.isDone());
+    awaitOnEventLoop(node, () -> node.pool().idleConnectionCount() == 1 || firstRequest.isDone());
     assertFalse(firstRequest.isDone(), "it was sent although its client had disconnected");
     writeIdempotentRequest(connect(node), "t-2");
     assertEquals("t-2", firstRequest.get().requestId());
@@ -93,7 +93,7 @@
     client.close();
     awaitAllDisconnected(node);
     proceed.complete(null);
-    awaitOnEventLoop(node, () -> node.pool().connections() == 0);
+    awaitOnEventLoop(node, () -> node.pool().connectionCount() == 0);
     writeIdempotentRequest(connect(node), "t-2");
     assertEquals("t-2", server.awaitRequest().requestId());
   }
--- a/src/test/java/merlinrouter/node/EventLoopFixture.java
+++ b/src/test/java/merlinrouter/node/EventLoopFixture.java
@@ -61,7 +61,7 @@
 
   /** Waits until one connection to an endpoint is idle and its quiet period is over. */
   static void awaitReusableConnection(EdgeNode node) throws Exception {
-    awaitOnEventLoop(node, () -> node.pool().idle() == 1);
+    awaitOnEventLoop(node, () -> node.pool().idleConnectionCount() == 1);
     node.loop().schedule(() -> {}, QUIET_PERIOD_OVER_MILLIS, TimeUnit.MILLISECONDS).get();
   }
 
--- a/src/test/java/merlinrouter/node/UpstreamConnectionLimitTest.java
+++ b/src/test/java/merlinrouter/node/UpstreamConnectionLimitTest.java
@@ -30,7 +30,7 @@
     for (int round = 0; round < ROUNDS; round++) {
       for (CompletableFuture<String> response : submitAll(node, round)) {
         assertEquals("t-" + round, response.get().substring(0, 3));
-        int connections = callOnEventLoop(node, () -> node.pool().connections());
+        int connections = callOnEventLoop(node, () -> node.pool().connectionCount());
         assertTrue(connections <= MAX_CONNECTIONS, connections + " connections");
       }
     }
