--- a/src/main/java/merlinrouter/node/http/BodyAccumulator.java
+++ b/src/main/java/merlinrouter/node/http/BodyAccumulator.java
@@ -3,10 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/**
- * Copies the parts of a message's body into one buffer, up to a maximum size. Not safe for use by
- * several threads.
- */
+/** Copies the parts of a message's body into one buffer, up to a maximum size. Not thread-safe. */
 public final class BodyAccumulator {
   private static final int MIN_CAPACITY_BYTES = 256;
 
@@ -18,12 +15,15 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Returns how many bytes the body has so far. */
+  /** Returns the number of bytes that the body has so far. */
   public int size() {
     return bytes.readableBytes();
   }
 
-  /** Adds a part, which stays the caller's; false, with nothing added, if that is too much. */
+  /**
+   * Appends a copy of a part, which the caller still owns. Returns false, and appends nothing, if
+   * the body would be larger than the maximum.
+   */
   public boolean add(ByteBuf part) {
     int length = part.readableBytes();
     if (size() + length > maxBytes) {
@@ -38,7 +38,7 @@
     return true;
   }
 
-  /** Returns the body, which the caller then owns, and starts another one. */
+  /** Returns the body, which the caller then owns, and starts with an empty one. */
   public ByteBuf take() {
     ByteBuf body = bytes;
     bytes = Unpooled.EMPTY_BUFFER;
--- a/src/main/java/merlinrouter/node/http/ResponseDecoder.java
+++ b/src/main/java/merlinrouter/node/http/ResponseDecoder.java
@@ -11,27 +11,27 @@
 
 /**
  * An HTTP/1 response decoder that is strict about where responses begin and end. Netty's decoder
- * skips line ends and control characters ahead of a response, waits for the end of a first line of
- * noise, and hides what it holds of a further response: each of these would let bytes that belong
- * to no request pass for the next one's response.
+ * skips line breaks and control characters before a response, buffers an invalid status line until
+ * its line break, and does not show whether it has buffered a part of another response. In each
+ * case, bytes that belong to no request could be taken for the response to the next request.
  *
- * <p>A malformed response is passed on as a failed decoder result or as a {@link DecoderException}.
+ * <p>A malformed response is reported as a failed decoder result or as a {@link DecoderException}.
  */
 public final class ResponseDecoder extends HttpResponseDecoder {
   private static final byte[] VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   private boolean betweenResponses = true;
 
-  /** Whether all that was read is complete responses. */
+  /** Returns whether the bytes read so far consist of complete responses only. */
   public boolean isBetweenResponses() {
     return betweenResponses && actualReadableBytes() == 0;
   }
 
-  /** Netty's decoder takes words without a colon for a header without a value. */
+  /** Rejects a line without a colon, which Netty's decoder accepts as a header without a value. */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
-      throw new IllegalArgumentException("no colon after a header's name");
+      throw new IllegalArgumentException("no colon after a header name");
     }
     return super.splitHeaderName(line, start, length);
   }
@@ -48,14 +48,14 @@
     betweenResponses |= !out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent;
   }
 
-  /** Checks as much of the prefix as has been read. */
+  /** Checks the bytes of the prefix that have been read so far. */
   private void requireVersionPrefix(ByteBuf in) {
     int length = Math.min(VERSION_PREFIX.length, in.readableBytes());
     for (int i = 0; i < length; i++) {
       if (in.getByte(in.readerIndex() + i) != VERSION_PREFIX[i]) {
         in.skipBytes(in.readableBytes());
         betweenResponses = false;
-        throw new DecoderException("not an HTTP/1 response");
+        throw new DecoderException("response does not start with \"HTTP/1.\"");
       }
     }
   }
--- a/src/main/java/merlinrouter/node/http/ResponseHandler.java
+++ b/src/main/java/merlinrouter/node/http/ResponseHandler.java
@@ -16,12 +16,12 @@
 import merlinrouter.node.transport.TcpChannel;
 
 /**
- * Collects a peer's responses and detects malformed ones as early as possible: a length that is too
- * large, missing or given twice is detected in the head. After a malformed response nothing is
- * read. Used on the event loop only.
+ * Assembles a peer's responses and detects malformed ones as early as possible: a body length that
+ * is too large, missing or given twice is detected in the head. Input after a malformed response is
+ * ignored. Used on the event loop only.
  */
 public abstract class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
-  /** More responses of status 1xx ahead of a final one are taken for an error of the peer. */
+  /** More 1xx responses than this before a final response count as a malformed response. */
   private static final int MAX_INFORMATIONAL_RESPONSES = 32;
 
   private static final int STATUS_SWITCHING_PROTOCOLS = 101;
@@ -36,10 +36,10 @@
   private boolean failed;
 
   /**
-   * The current response has no length: only the peer's orderly end of the connection shows that it
-   * is complete.
+   * Whether the current response has no length, so that only the peer's orderly close of the
+   * connection shows that it is complete.
    */
-  private boolean endsWithConnection;
+  private boolean closeDelimited;
 
   /** Creates a handler for responses with a body of up to {@code maxBodyBytes}. */
   protected ResponseHandler(int maxBodyBytes) {
@@ -47,21 +47,21 @@
     body = new BodyAccumulator(maxBodyBytes);
   }
 
-  /** A complete response was received; the body is released when this returns. */
+  /** Handles a complete response, whose body is released after this method returns. */
   protected abstract void responseReceived(HttpResponse response, ByteBuf content);
 
   /**
-   * A malformed response was received, or the connection ended; it is of no further use. Called
+   * Handles a malformed response or the end of the connection, which is not used any more. Called
    * once by this class.
    */
   protected abstract void connectionFailed();
 
-  /** Whether a response may arrive now: one that belongs to no request is malformed. */
+  /** Returns whether a response may arrive now: one that belongs to no request is malformed. */
   protected abstract boolean expectsResponse();
 
   /**
-   * Whether a response without a length is accepted, once the peer has ended the connection in
-   * order.
+   * Returns whether a response without a length is accepted once the peer has closed the connection
+   * in an orderly way (FIN).
    */
   protected boolean acceptsResponseWithoutLength() {
     return false;
@@ -83,13 +83,12 @@
     }
   }
 
-  /** Begins a response; false if its head alone shows that it is malformed. */
+  /** Starts a response; returns false if its head alone shows that it is malformed. */
   private boolean acceptHead(HttpResponse response) {
     head = response;
-    endsWithConnection =
-        acceptsResponseWithoutLength() && !isInformational() && hasNoLength(response);
+    closeDelimited = acceptsResponseWithoutLength() && !isInformational() && hasNoLength(response);
     if (!isInformational()) {
-      return endsWithConnection || isFramed(response);
+      return closeDelimited || isFramed(response);
     }
     if (response.status().code() == STATUS_SWITCHING_PROTOCOLS) {
       return false;
@@ -102,7 +101,7 @@
     if (!isInformational() && !body.add(content.content())) {
       fail();
     } else if (content instanceof LastHttpContent) {
-      if (endsWithConnection && !isInputEnded(context)) {
+      if (closeDelimited && !isInputEnded(context)) {
         fail();
       } else {
         finish();
@@ -110,7 +109,10 @@
     }
   }
 
-  /** After a reset, an error and a close by this node the rest of a response is unknown. */
+  /**
+   * Returns whether the peer ended its output (FIN). After a reset, an error or a close by this
+   * node it is unknown whether the response is complete.
+   */
   private static boolean isInputEnded(ChannelHandlerContext context) {
     return context.channel() instanceof TcpChannel channel && channel.isInputEnded();
   }
@@ -130,7 +132,7 @@
     return head.status().code() < MIN_FINAL_STATUS;
   }
 
-  /** Whether the head says where the response ends. */
+  /** Returns whether the head determines where the body ends, within the maximum size. */
   private boolean isFramed(HttpResponse response) {
     String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
     if (coding != null) {
@@ -172,7 +174,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-      ErrorLog.report("a response", cause);
+      ErrorLog.report("handling a response failed", cause);
     }
     fail();
   }
--- a/src/main/java/merlinrouter/node/http/StrictDecimal.java
+++ b/src/main/java/merlinrouter/node/http/StrictDecimal.java
@@ -1,23 +1,24 @@
 package merlinrouter.node.http;
 
 /**
- * Parses numbers from a peer. {@link Double#parseDouble} accepts more than the protocol allows
- * ({@code 1d}, {@code 0x1p3}, {@code NaN}), and a number out of bounds must not get into any count.
+ * Parses decimal numbers that a peer sent. {@link Double#parseDouble} accepts more than the
+ * protocol allows ({@code 1d}, {@code 0x1p3}, {@code NaN}), and a number outside its bounds must
+ * not be added to any total.
  */
 public final class StrictDecimal {
-  private static final int MAX_LENGTH = 32;
+  private static final int MAX_CHARACTERS = 32;
   private static final String UNSIGNED_CHARACTERS = "0123456789.";
   private static final String SIGNED_CHARACTERS = "0123456789.+-eE";
 
   private StrictDecimal() {}
 
-  /** Parses a finite decimal number; returns NaN for any other text. */
+  /** Parses a finite decimal number; returns NaN for any other text and for null. */
   public static double parseFinite(String text) {
     return parse(text, SIGNED_CHARACTERS);
   }
 
   /**
-   * Parses a number above 0 without sign or exponent, and no larger than {@code max}; returns NaN
+   * Parses a decimal number above 0 and up to {@code max}, without sign or exponent; returns NaN
    * for any other text and for null.
    */
   public static double parsePositive(String text, double max) {
@@ -26,7 +27,7 @@
   }
 
   private static double parse(String text, String allowedCharacters) {
-    if (text == null || text.isEmpty() || text.length() > MAX_LENGTH) {
+    if (text == null || text.isEmpty() || text.length() > MAX_CHARACTERS) {
       return Double.NaN;
     }
     for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/merlinrouter/node/http/package-info.java
+++ b/src/main/java/merlinrouter/node/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is common to the HTTP/1.1 connections of the node: a strict decoder, limits and numbers for
- * messages of peers that cannot be trusted to be well-formed.
+ * Code that the node's HTTP/1.1 connections share: header names, size limits, and strict parsing of
+ * messages, since peers may send malformed ones.
  */
 package merlinrouter.node.http;
