--- a/src/main/java/merlinrouter/node/upstream/Attempt.java
+++ b/src/main/java/merlinrouter/node/upstream/Attempt.java
@@ -52,12 +52,12 @@
     return ended;
   }
 
-  /** Whether the whole request was written, so that the endpoint may execute it. */
+  /** Returns whether the whole request was written, so that the endpoint may execute it. */
   boolean isWritten() {
     return written;
   }
 
-  /** Reads the client's connection, and returns whether the client still waits for the response. */
+  /** Reads the client's connection and returns whether the client still waits for the response. */
   boolean readAndCheckAwaited() {
     return request.readAndCheckAwaited();
   }
@@ -67,11 +67,11 @@
   }
 
   /** Assigns the connection that the request is written to. */
-  void attach(UpstreamConnection to) {
-    connection = to;
+  void attach(UpstreamConnection target) {
+    connection = target;
   }
 
-  /** Leaves its connection to other attempts. */
+  /** Removes the connection from this attempt, so that other attempts may use it. */
   void detach() {
     connection = null;
   }
@@ -81,7 +81,7 @@
     written = complete;
   }
 
-  /** Ends it because its connection is lost. */
+  /** Ends this attempt because its connection was lost. */
   void connectionLost() {
     end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
   }
@@ -93,12 +93,12 @@
     end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
   }
 
-  /** Ends it without a response; no effect if it has ended. */
+  /** Ends this attempt without a response; has no effect if it has ended already. */
   void end(Outcome outcome) {
     end(outcome, 0, null);
   }
 
-  /** Ends it with a response; no effect if it has ended. */
+  /** Ends this attempt with a response; has no effect if it has ended already. */
   void end(UpstreamResponse response) {
     end(response.outcome(), response.chargedUnits(), response.body());
   }
@@ -118,7 +118,7 @@
         new CompletedAttempt(request, endpointId, outcome, elapsedNanos(), chargedUnits, body));
   }
 
-  /** Returns the request as it goes to the endpoint, with the time that is left of the timeout. */
+  /** Returns the request to be written, with the remaining time of the attempt timeout. */
   FullHttpRequest toHttpRequest() {
     FullHttpRequest message =
         new DefaultFullHttpRequest(
@@ -126,12 +126,14 @@
             request.method(),
             request.uri(),
             request.body().retainedDuplicate());
-    long leftMillis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - elapsedNanos());
+    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - elapsedNanos());
     message
         .headers()
         .set(HttpHeaderNames.HOST, EndpointProtocol.SERVICE_HOST)
         .set(ServiceProtocol.REQUEST_ID, requestId())
-        .set(ServiceProtocol.TIMEOUT_MILLIS, Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, leftMillis));
+        .set(
+            ServiceProtocol.TIMEOUT_MILLIS,
+            Math.max(MIN_FORWARDED_TIMEOUT_MILLIS, remainingMillis));
     if (request.idempotencyKey() != null) {
       message.headers().set(ServiceProtocol.IDEMPOTENCY_KEY, request.idempotencyKey());
     }
--- a/src/main/java/merlinrouter/node/upstream/CompletedAttempt.java
+++ b/src/main/java/merlinrouter/node/upstream/CompletedAttempt.java
@@ -5,15 +5,15 @@
 import merlinrouter.node.request.OpenRequest;
 
 /**
- * An attempt that is over.
+ * The result of an attempt that has ended.
  *
  * @param request the request that was forwarded
- * @param endpointId the endpoint that it was for
+ * @param endpointId id of the endpoint that the request was forwarded to
  * @param outcome how the attempt ended
- * @param durationNanos time since it was started
+ * @param durationNanos time from its start to its end
  * @param chargedUnits the units that the endpoint charged; 0 if not known
- * @param body the body of a complete response, null if none came; stays owned by the pool and is
- *     released once the listener returns
+ * @param body the body of the complete response, null if none was received; owned by the
+ *     connection, which releases it after the listener returns
  */
 public record CompletedAttempt(
     OpenRequest request,
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -17,13 +17,13 @@
 /**
  * Opens connections to endpoints and counts them. Used on the event loop only.
  *
- * <p>A connection attempt that fails in this process, for lack of a file descriptor for instance,
- * is retried: nothing was sent to the endpoint, and it is not the endpoint's failure. All tries of
- * one attempt together take no longer than one connection attempt may, as the window of an
- * idempotency key assumes.
+ * <p>A connect that fails in this process, for example for lack of a file descriptor, is retried:
+ * nothing was sent to the endpoint, and the failure is not the endpoint's. All connects of one
+ * attempt together take no longer than the connect timeout, since the check of an idempotency key's
+ * deduplication window assumes that an attempt reaches its endpoint within that time.
  */
 final class Connector {
-  /** Short against the connect timeout. */
+  /** Short compared to the connect timeout. */
   private static final long LOCAL_RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private static final long MIN_CONNECT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -40,7 +40,8 @@
     connectTimeoutNanos = Math.max(MIN_CONNECT_TIMEOUT_NANOS, config.connectTimeoutNanos());
     double maxChargedUnits = config.settings().counter().maxRequestUnits();
     bootstrap =
-        // All addresses are of one kind, TCP or Unix; discovery has one in any configuration.
+        // All addresses are of the same kind, TCP or Unix; the one of discovery is always
+        // configured.
         Transport.clientBootstrap(loop, config.discovery())
             .handler(
                 new ChannelInitializer<Channel>() {
@@ -57,21 +58,22 @@
                 });
   }
 
-  /** How many connections are open or being opened. */
+  /** Returns the number of connections that are open or being opened. */
   int connectionCount() {
     return connections;
   }
 
   /**
-   * Opens a connection and writes an attempt to it, or ends the attempt; never from within this
-   * call.
+   * Opens a connection and writes the attempt's request to it, or ends the attempt. Neither happens
+   * before this method returns.
    */
   void connect(EndpointPool pool, Attempt attempt) {
-    long leftMillis = TimeUnit.NANOSECONDS.toMillis(connectTimeoutNanos - attempt.elapsedNanos());
+    long remainingMillis =
+        TimeUnit.NANOSECONDS.toMillis(connectTimeoutNanos - attempt.elapsedNanos());
     ChannelFuture connecting =
         bootstrap
             .clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, leftMillis))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, remainingMillis))
             .connect(pool.address());
     if (!Transport.hasChannel(connecting)) {
       retryLater(pool, attempt);
@@ -103,11 +105,11 @@
   }
 
   private void retry(EndpointPool pool, Attempt attempt) {
-    boolean late = attempt.elapsedNanos() > connectTimeoutNanos - LOCAL_RETRY_DELAY_NANOS;
+    boolean noTimeLeft = attempt.elapsedNanos() > connectTimeoutNanos - LOCAL_RETRY_DELAY_NANOS;
     if (attempt.isEnded()) {
       return;
     }
-    if (late || pool.isRetired() || !attempt.readAndCheckAwaited()) {
+    if (noTimeLeft || pool.isRetired() || !attempt.readAndCheckAwaited()) {
       attempt.end(Outcome.NOT_SENT);
     } else {
       connect(pool, attempt);
--- a/src/main/java/merlinrouter/node/upstream/EndpointPool.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointPool.java
@@ -5,14 +5,14 @@
 import merlinrouter.model.Endpoint;
 
 /**
- * The idle connections to one incarnation of an endpoint at one address; a restart or another
- * address makes a new pool. Used on the event loop only.
+ * The idle connections to one incarnation of an endpoint at one address; after a restart or a
+ * change of its address the endpoint has a new pool. Used on the event loop only.
  */
 final class EndpointPool {
   private final Endpoint endpoint;
   private final SocketAddress address;
 
-  /** The most recently used first. */
+  /** The most recently used connection is first. */
   private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
 
   private boolean retired;
@@ -30,12 +30,12 @@
     return address;
   }
 
-  /** Whether this is the pool of the same run of the endpoint at the same address. */
+  /** Returns whether this is the pool of the same incarnation of the endpoint at this address. */
   boolean isFor(Endpoint other, SocketAddress otherAddress) {
     return address.equals(otherAddress) && endpoint.startedAtNanos() == other.startedAtNanos();
   }
 
-  /** Whether its connections are of no further use. */
+  /** Returns whether this pool is retired, so that its connections must not be reused. */
   boolean isRetired() {
     return retired;
   }
@@ -44,7 +44,7 @@
     return idle.size();
   }
 
-  /** Takes an open connection that may be written to; null if there is none. */
+  /** Removes and returns a connection that is open and may be written to; null if there is none. */
   UpstreamConnection acquire() {
     UpstreamConnection connection = pollReusable();
     while (connection != null && !connection.readAndCheckOpen()) {
@@ -54,8 +54,8 @@
   }
 
   /**
-   * The most recently used, so that the others reach their idle timeout; within its quiet period
-   * the least recently used.
+   * Removes and returns the most recently used connection, so that the others reach their idle
+   * timeout; during its quiet period the least recently used one; null if neither may be used.
    */
   private UpstreamConnection pollReusable() {
     UpstreamConnection mostRecent = idle.peekFirst();
@@ -66,7 +66,7 @@
     return leastRecent != null && leastRecent.isQuietPeriodOver() ? idle.pollLast() : null;
   }
 
-  /** Adds a connection that has no attempt any more. */
+  /** Adds a connection that has no attempt. */
   void release(UpstreamConnection connection) {
     idle.push(connection);
   }
@@ -75,7 +75,7 @@
     idle.remove(connection);
   }
 
-  /** Closes the least recently used idle connection; false if there is none. */
+  /** Closes the least recently used idle connection; returns false if there is none. */
   boolean closeLeastRecentlyUsed() {
     UpstreamConnection connection = idle.pollLast();
     if (connection == null) {
@@ -85,9 +85,9 @@
     return true;
   }
 
-  /** Closes what has been idle since before a moment of {@link System#nanoTime}. */
-  void closeIdleSince(long momentNanos) {
-    while (!idle.isEmpty() && idle.peekLast().idleSinceNanos() - momentNanos < 0) {
+  /** Closes connections that became idle before {@code cutoffNanos}, a {@link System#nanoTime}. */
+  void closeIdleSince(long cutoffNanos) {
+    while (!idle.isEmpty() && idle.peekLast().idleSinceNanos() - cutoffNanos < 0) {
       idle.pollLast().close();
     }
   }
--- a/src/main/java/merlinrouter/node/upstream/EndpointPools.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointPools.java
@@ -14,17 +14,17 @@
 import merlinrouter.node.config.EndpointList;
 
 /**
- * The pools of all endpoints that are ready, as the endpoint list has them. Used on the event loop
- * only.
+ * The connection pools of the endpoints that are ready according to the endpoint list. Used on the
+ * event loop only.
  *
- * <p>An address belongs to one endpoint, the one that started there last. The endpoint that had the
- * address before is removed, whether or not discovery says so yet: under the earlier id the new
- * endpoint would be reached without its slow start and its draining being known.
+ * <p>An address belongs to one endpoint, the one that started there last. The previous endpoint of
+ * the address is removed even if discovery still lists it as ready: requests to its id would reach
+ * the new endpoint without regard to its slow start and draining.
  */
 final class EndpointPools {
   private final Map<String, EndpointPool> byEndpointId = new HashMap<>();
 
-  /** Owners of addresses; a search among all endpoints would make an update quadratic. */
+  /** Saves a search through all endpoints, which would make the time of an update quadratic. */
   private final Map<SocketAddress, EndpointPool> byAddress = new HashMap<>();
 
   /** Returns the pool of an endpoint; null if it is not ready. */
@@ -37,14 +37,15 @@
   }
 
   /**
-   * Follows the endpoint list: pools of endpoints that are removed, draining, moved or restarted
-   * are retired.
+   * Applies an update of the endpoint list. Pools of endpoints that are removed, draining,
+   * restarted or at another address are retired.
    *
-   * @param update the list or its changed entries
-   * @param complete whether endpoints that the update does not name are removed
-   * @return the update with the consequences of addresses that changed their owner
+   * @param update the complete list or its changed entries
+   * @param removeUnlisted whether endpoints that are not in the update are removed
+   * @return the endpoints of the update, and those whose address now belongs to another endpoint;
+   *     an endpoint is marked as removed if another one started at its address later
    */
-  List<Endpoint> update(EndpointList update, boolean complete) {
+  List<Endpoint> update(EndpointList update, boolean removeUnlisted) {
     List<Endpoint> changes = new ArrayList<>();
     Set<String> listedIds = new HashSet<>();
     for (EndpointEntry entry : update.entries()) {
@@ -53,21 +54,25 @@
       changes.add(endpoint);
       replacePool(endpoint, entry.address());
     }
-    if (complete) {
+    if (removeUnlisted) {
       removeUnlisted(listedIds);
     }
     return changes;
   }
 
-  /** Returns the entry's endpoint, as removed if another endpoint started at its address later. */
+  /**
+   * Returns the entry's endpoint, marked as removed if another endpoint started at its address
+   * later. If another one started there earlier, removes it and adds its removal to {@code
+   * changes}.
+   */
   private Endpoint resolveAddressOwner(EndpointEntry entry, List<Endpoint> changes) {
     Endpoint endpoint = entry.endpoint();
     EndpointPool owner = byAddress.get(entry.address());
-    boolean contested =
+    boolean addressConflict =
         endpoint.state() == EndpointState.READY
             && owner != null
             && !owner.endpoint().id().equals(endpoint.id());
-    if (!contested) {
+    if (!addressConflict) {
       return endpoint;
     }
     if (owner.endpoint().startedAtNanos() > endpoint.startedAtNanos()) {
--- a/src/main/java/merlinrouter/node/upstream/EndpointProtocol.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointProtocol.java
@@ -1,17 +1,19 @@
 package merlinrouter.node.upstream;
 
-/** What the node and endpoints agree on beyond HTTP: names of headers, values and limits. */
+/** Header names and values of the protocol between the node and endpoints. */
 public final class EndpointProtocol {
-  /** The host that requests are for. */
+  /** The value of the Host header of requests to the service. */
   public static final String SERVICE_HOST = "app.svc";
 
-  /** Set to {@link #YES} by an endpoint that rejected a request without executing any of it. */
+  /**
+   * Header set to {@link #YES} by an endpoint that rejected a request without executing any of it.
+   */
   public static final String NOT_EXECUTED = "X-Never-Ran";
 
-  /** The units that an endpoint charged for a request. */
+  /** Header with the units that an endpoint charged for a request. */
   public static final String CHARGED_UNITS = "X-Units-Charged";
 
-  /** Value of a flag that is set. */
+  /** Header value of a flag that is set. */
   public static final String YES = "1";
 
   private EndpointProtocol() {}
--- a/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamConnection.java
@@ -17,19 +17,19 @@
 import merlinrouter.node.transport.EventLoops;
 
 /**
- * An HTTP/1.1 connection to an endpoint with one request at a time. It belongs to the pool of its
- * endpoint while it has no attempt. Used on the event loop only.
+ * An HTTP/1.1 connection to an endpoint, which carries one request at a time. While it is idle it
+ * is in the pool of its endpoint. Used on the event loop only.
  */
 final class UpstreamConnection extends ResponseHandler {
   /**
-   * Nothing is written for this long after a response: a duplicate of it or stray bytes may follow
-   * right behind.
+   * No request is written for this long after a response, since a duplicate of the response or
+   * stray bytes may follow it.
    */
   private static final long QUIET_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   /**
-   * A response has {@link EndpointProtocol#MAX_BODY_BYTES} bytes at most: one that began and is not
-   * complete after this long is malformed.
+   * A body has at most {@link ServiceProtocol#MAX_BODY_BYTES} bytes, so a response that is still
+   * incomplete this long after its first bytes counts as malformed.
    */
   private static final long RESPONSE_COMPLETION_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
@@ -56,13 +56,13 @@
     this.maxChargedUnits = maxChargedUnits;
   }
 
-  /** Not in channelActive: a connect's listeners are notified before the handlers are. */
+  /** Not in {@code channelActive}, which is called after the listeners of the connect. */
   @Override
   public void handlerAdded(ChannelHandlerContext context) {
     channel = context.channel();
   }
 
-  /** Sets the pool that it goes to when it is idle; called before the first attempt. */
+  /** Sets the pool that this connection is in while it is idle; called before the first attempt. */
   void assignTo(EndpointPool owner) {
     pool = owner;
   }
@@ -71,7 +71,7 @@
     return quietPeriodOver;
   }
 
-  /** When it last became idle, by {@link System#nanoTime}. */
+  /** Returns the {@link System#nanoTime} at which this connection last became idle. */
   long idleSinceNanos() {
     return idleSinceNanos;
   }
@@ -80,14 +80,14 @@
     channel.close();
   }
 
-  /** Called by the attempt when it ends. */
+  /** Removes the attempt from this connection; called by the attempt when it ends. */
   void detachAttempt() {
     attempt = null;
   }
 
   /**
-   * Reads the connection, and returns whether it is open then: the endpoint's close may have
-   * arrived, or bytes that belong to no request, on which it is closed.
+   * Reads the connection and returns whether it is still open: the endpoint may have closed it, or
+   * may have sent bytes that belong to no request, upon which this node closes it.
    */
   boolean readAndCheckOpen() {
     if (channel.isActive()) {
@@ -104,7 +104,7 @@
   /** Writes an attempt's request, unless the client has disconnected or the attempt has ended. */
   void write(Attempt next) {
     if (!next.isEnded() && !next.readAndCheckAwaited()) {
-      // The client disconnected while the connection was being opened.
+      // The client disconnected, for example while the connection was being opened.
       log.count(NodeLog.Event.ATTEMPT_SKIPPED);
       next.end(Outcome.NOT_SENT);
     }
@@ -142,26 +142,27 @@
 
   @Override
   protected void responseReceived(HttpResponse head, ByteBuf body) {
-    Attempt answered = attempt;
+    Attempt completed = attempt;
     attempt = null;
-    answered.detach();
+    completed.detach();
     reusable = HttpUtil.isKeepAlive(head);
     if (!reusable) {
       channel.close();
     }
-    answered.end(UpstreamResponse.of(head, body, maxChargedUnits));
+    completed.end(UpstreamResponse.of(head, body, maxChargedUnits));
   }
 
   /**
-   * Decides on the reuse of the connection. Only here, when all that was read has been decoded, is
-   * it known whether other bytes follow a response: these would pass for the next request's.
+   * Decides whether the connection is reused. Bytes that follow a response would be taken for the
+   * response to the next request; whether there are any is known only after everything that was
+   * read has been decoded.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    boolean clean = decoder.isBetweenResponses();
+    boolean betweenResponses = decoder.isBetweenResponses();
     if (attempt != null) {
-      updateCompletionTimeout(!clean);
-    } else if (!clean) {
+      updateCompletionTimeout(!betweenResponses);
+    } else if (!betweenResponses) {
       channel.close();
     } else if (reusable) {
       reusable = false;
@@ -171,7 +172,10 @@
     }
   }
 
-  /** The time alone is not enough: an event loop that stalled has not read what arrived. */
+  /**
+   * Starts the quiet period, which ends only after another poll of the sockets: an event loop that
+   * stalled has not yet read what arrived during the stall.
+   */
   private void startQuietPeriod() {
     quietPeriodOver = false;
     EventLoops.runAfterNextPoll(loop, QUIET_PERIOD_NANOS, () -> quietPeriodOver = true);
@@ -188,18 +192,20 @@
     }
   }
 
-  /** A malformed response, or the end of the connection. */
+  /** Handles a malformed or overdue response, or the end of the connection. */
   @Override
   protected void connectionFailed() {
     updateCompletionTimeout(false);
     if (attempt != null) {
       log.request(
-          NodeLog.Event.RESPONSE_INCOMPLETE, attempt.requestId(), "by " + attempt.endpointId());
+          NodeLog.Event.RESPONSE_INCOMPLETE,
+          attempt.requestId(),
+          "from endpoint " + attempt.endpointId());
     }
     if (pool != null) {
       pool.remove(this);
     }
-    // The close comes first: a further attempt must not meet this one on an open connection.
+    // Closed before the attempt ends: a retry must not start while this connection is open.
     channel.close();
     if (attempt != null) {
       attempt.connectionLost();
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -11,13 +11,13 @@
 import merlinrouter.node.request.OpenRequest;
 
 /**
- * Forwards requests to endpoints over pooled connections, within a bound on the number of
- * connections. Used on the event loop only.
+ * Forwards requests to endpoints over pooled connections, whose number is limited. Used on the
+ * event loop only.
  */
 public final class UpstreamPool {
   private static final long SWEEP_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** The part of the file descriptors that upstream connections may take. */
+  /** The share of the process's file descriptors that connections to endpoints may take. */
   private static final int SOCKET_SHARE_NUMERATOR = 3;
 
   private static final int SOCKET_SHARE_DENOMINATOR = 8;
@@ -33,17 +33,17 @@
   /**
    * Creates a pool without endpoints.
    *
-   * @param listener is notified of the ends of attempts
-   * @param loop the event loop that all runs on
-   * @param config timeouts and bounds
-   * @param log counts what goes wrong
+   * @param listener is notified when an attempt ends
+   * @param loop the event loop of the pool and its connections
+   * @param config timeouts and limits
+   * @param log records skipped attempts and failures
    */
   public UpstreamPool(AttemptListener listener, EventLoop loop, NodeConfig config, NodeLog log) {
     this.listener = listener;
     this.loop = loop;
     connector = new Connector(loop, config, log);
-    // Well before the endpoint closes the connection: a request that is written to a connection
-    // that its peer closes ends as a reset.
+    // Well before the endpoint closes the connection: a request that is written while the endpoint
+    // closes the connection ends as a reset.
     idleTimeoutNanos = config.keepAliveNanos() / 2;
     maxConnections =
         Math.max(
@@ -54,13 +54,14 @@
   }
 
   /**
-   * Follows the endpoint list: connections to endpoints that are removed, draining, moved or
-   * restarted are closed once they are idle.
+   * Applies an update of the endpoint list. Connections to endpoints that are removed, draining,
+   * restarted or at another address are closed as soon as they are idle.
    *
-   * @param update the list or its changed entries
-   * @param removeUnlisted whether endpoints that the update does not name are removed
-   * @return the update as the gateway should see it: an endpoint is removed as well if another one
-   *     started at its address later
+   * @param update the complete list or its changed entries
+   * @param removeUnlisted whether endpoints that are not in the update are removed
+   * @return the changes for the gateway: the endpoints of the update, and those whose address now
+   *     belongs to another endpoint; an endpoint is marked as removed if another one started at its
+   *     address later
    */
   public List<Endpoint> update(EndpointList update, boolean removeUnlisted) {
     return pools.update(update, removeUnlisted);
@@ -91,13 +92,13 @@
   }
 
   private UpstreamConnection acquire(EndpointPool pool) {
-    // The sweep alone is too coarse where endpoints keep idle connections for a short time only.
+    // The sweep alone is too coarse for endpoints that close idle connections after a short time.
     pool.closeIdleSince(System.nanoTime() - idleTimeoutNanos);
     return pool.acquire();
   }
 
   /**
-   * At the bound on connections, closes an idle one to any endpoint.
+   * Closes an idle connection to any endpoint if the maximum number of connections is reached.
    *
    * @return whether another connection may be opened
    */
@@ -113,20 +114,20 @@
     return false;
   }
 
-  /** How many connections to endpoints are open or being opened. */
+  /** Returns the number of connections to endpoints that are open or being opened. */
   public int connectionCount() {
     return connector.connectionCount();
   }
 
-  /** How many connections are idle. */
+  /** Returns the number of idle connections. */
   public int idleConnectionCount() {
     return pools.all().stream().mapToInt(EndpointPool::idleCount).sum();
   }
 
   private void closeIdle() {
-    long momentNanos = System.nanoTime() - idleTimeoutNanos;
+    long cutoffNanos = System.nanoTime() - idleTimeoutNanos;
     for (EndpointPool pool : pools.all()) {
-      pool.closeIdleSince(momentNanos);
+      pool.closeIdleSince(cutoffNanos);
     }
   }
 }
--- a/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamResponse.java
@@ -6,11 +6,11 @@
 import merlinrouter.node.http.StrictDecimal;
 
 /**
- * A complete response of an endpoint.
+ * A complete response from an endpoint.
  *
- * @param outcome what it means for the attempt
+ * @param outcome the outcome of the attempt
  * @param chargedUnits the units that the endpoint charged; 0 if not known
- * @param body its body; owned by the connection that received it
+ * @param body the body; owned by the connection that received it
  */
 record UpstreamResponse(Outcome outcome, double chargedUnits, ByteBuf body) {
   private static final int STATUS_OK = 200;
@@ -18,12 +18,12 @@
   private static final int STATUS_GATEWAY_TIMEOUT = 504;
 
   /**
-   * Reads a response.
+   * Interprets a response.
    *
    * @param head status and headers
    * @param body the complete body
-   * @param maxChargedUnits the most that one request may charge; a larger or malformed figure
-   *     counts as not known
+   * @param maxChargedUnits the maximum that one request may be charged; a larger or malformed
+   *     number counts as unknown
    */
   static UpstreamResponse of(HttpResponse head, ByteBuf body, double maxChargedUnits) {
     Outcome outcome = outcomeOf(head);
@@ -36,10 +36,10 @@
     if (status == STATUS_OK) {
       return Outcome.OK;
     }
-    boolean mayProveNotExecuted =
+    boolean rejectionStatus =
         status == STATUS_SERVICE_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT;
     boolean notExecuted =
-        mayProveNotExecuted
+        rejectionStatus
             && EndpointProtocol.YES.equals(head.headers().get(EndpointProtocol.NOT_EXECUTED));
     return notExecuted ? Outcome.REJECTED : Outcome.ERROR;
   }
