--- a/src/main/java/merlinrouter/node/transport/ChannelClosingEventLoop.java
+++ b/src/main/java/merlinrouter/node/transport/ChannelClosingEventLoop.java
@@ -8,10 +8,10 @@
 /**
  * An event loop that has closed all its channels when it terminates.
  *
- * <p>Netty's own checks for a requested shutdown before it runs its tasks, and closes its channels
- * then; it checks again behind the tasks, and ends. A shutdown without a quiet period that is
- * requested in between ends the loop with its channels open, and their file descriptors stay open
- * as long as the process runs.
+ * <p>Netty's event loop checks for a requested shutdown before it runs its tasks, and then closes
+ * its channels; it checks again after the tasks, and then terminates. If a shutdown without a quiet
+ * period is requested between the two checks, it terminates with its channels open, and their file
+ * descriptors stay open as long as the process runs.
  */
 final class ChannelClosingEventLoop extends SingleThreadIoEventLoop {
   ChannelClosingEventLoop(IoEventLoopGroup parent, Executor executor, IoHandlerFactory handlers) {
--- a/src/main/java/merlinrouter/node/transport/EventLoops.java
+++ b/src/main/java/merlinrouter/node/transport/EventLoops.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 
-/** Creation of event loops, and scheduling relative to their polls. */
+/** Creates event loops, and schedules tasks relative to their polls of the sockets. */
 public final class EventLoops {
   private EventLoops() {}
 
   /**
-   * Creates a group of one event loop. However the group is shut down, no channel of it stays open.
+   * Creates a group of one event loop, which leaves no channel open however the group is shut down.
    */
   public static EventLoopGroup newSingleLoopGroup(IoHandlerFactory handlers) {
     return new MultiThreadIoEventLoopGroup(1, handlers) {
@@ -25,7 +25,10 @@
     };
   }
 
-  /** As {@link #newSingleLoopGroup(IoHandlerFactory)}; a listener is notified of each turn. */
+  /**
+   * Creates a group as {@link #newSingleLoopGroup(IoHandlerFactory)} does, whose event loop
+   * notifies a listener of each turn.
+   */
   public static EventLoopGroup newSingleLoopGroup(
       IoHandlerFactory handlers, TurnListener turnListener) {
     return newSingleLoopGroup(
@@ -33,9 +36,9 @@
   }
 
   /**
-   * Runs a task after a delay and a whole poll of the sockets that follows it, however long the
-   * event loop was stalled. A task that is scheduled from within a task without a delay runs after
-   * the next poll.
+   * Runs a task after a delay and a whole poll of the sockets that follows the delay, however long
+   * the event loop was stalled. This relies on the order of the event loop's work: a task that
+   * another task schedules without a delay runs after the next poll.
    */
   public static void runAfterNextPoll(EventLoop loop, long delayNanos, Runnable task) {
     loop.schedule(
--- a/src/main/java/merlinrouter/node/transport/TcpChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpChannel.java
@@ -9,22 +9,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP connection that distinguishes an orderly end of input from everything else that a read may
- * return. The JDK returns a number below {@code -1} for a read that a signal interrupted, and Netty
- * takes every negative number for the end.
+ * A TCP connection that distinguishes the orderly end of its input from all other results of a
+ * read. The JDK returns a number below {@code -1} for a read that a signal interrupted, and Netty
+ * treats every negative number as the end of input.
  *
- * <p>On an accepted connection a write that fails is tried again for a moment: the system may be
- * short of buffers (ENOBUFS), and the response would be lost. A connection that is broken is closed
- * meanwhile by its reads, or when the tries are used up. On other connections a failed write is
- * reported at once, since whoever waits for it can choose another connection.
+ * <p>On an accepted connection a failed write is retried for a short time: the system may be short
+ * of buffers (ENOBUFS), and the response would be lost. A broken connection is closed by a failed
+ * read meanwhile, or after the last retry. On other connections a failed write is reported
+ * immediately, since the caller can use another connection.
  */
 public final class TcpChannel extends NioSocketChannel {
   private static final int END_OF_STREAM = -1;
 
-  /** After this many interrupts in a row the read is left to the event loop's next poll. */
+  /** After this many interrupted reads in a row, the read is left to the event loop's next poll. */
   private static final int MAX_INTERRUPTED_READS = 16;
 
-  /** Together 100 ms. */
+  /** With {@link #WRITE_RETRY_DELAY_MILLIS} between them, 100 ms in total. */
   private static final int MAX_FAILED_WRITES = 20;
 
   private static final long WRITE_RETRY_DELAY_MILLIS = 5;
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Whether the peer ended its side of the connection (FIN); false after a reset, an error or a
-   * close by this node.
+   * Returns whether the peer ended its side of the connection (FIN); false after a reset, an error
+   * or a close by this node.
    */
   public boolean isInputEnded() {
     return inputEnded;
--- a/src/main/java/merlinrouter/node/transport/TcpServerChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpServerChannel.java
@@ -4,7 +4,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** The listening socket; its connections are {@link TcpChannel}s. */
+/** A listening socket whose accepted connections are {@link TcpChannel}s. */
 public final class TcpServerChannel extends NioServerSocketChannel {
   @Override
   protected int doReadMessages(List<Object> accepted) throws Exception {
--- a/src/main/java/merlinrouter/node/transport/TimedIoHandler.java
+++ b/src/main/java/merlinrouter/node/transport/TimedIoHandler.java
@@ -6,79 +6,79 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Measures the turns of the event loop that it serves, and leaves the sockets to another handler.
- * Used on the event loop only, but for {@link #wakeup}.
+ * Measures the turns of its event loop, and delegates the sockets to another handler. Used on the
+ * event loop only, except for {@link #wakeup}.
  */
 final class TimedIoHandler implements IoHandler {
-  private final IoHandler sockets;
+  private final IoHandler delegate;
   private final TurnListener listener;
   private final TimedContext context = new TimedContext();
-  private boolean turned;
+  private boolean polledBefore;
   private long socketsHandledAtNanos;
   private long pollOverrunNanos;
   private long socketNanos;
 
-  /** Creates a handler that leaves the sockets to {@code sockets}. */
-  TimedIoHandler(IoHandler sockets, TurnListener listener) {
-    this.sockets = sockets;
+  /** Creates a handler that delegates the sockets to {@code delegate}. */
+  TimedIoHandler(IoHandler delegate, TurnListener listener) {
+    this.delegate = delegate;
     this.listener = listener;
   }
 
   @Override
   public int run(IoHandlerContext loopContext) {
     long startedAtNanos = System.nanoTime();
-    if (turned) {
+    if (polledBefore) {
       long taskNanos = startedAtNanos - socketsHandledAtNanos;
       listener.turnEnded(new LoopTurn(startedAtNanos, pollOverrunNanos, socketNanos, taskNanos));
     }
-    turned = true;
+    polledBefore = true;
     return poll(loopContext);
   }
 
   private int poll(IoHandlerContext loopContext) {
     long startedAtNanos = System.nanoTime();
-    long mayWaitNanos =
+    long maxWaitNanos =
         loopContext.canBlock() ? Math.max(0, loopContext.delayNanos(startedAtNanos)) : 0;
     context.loopContext = loopContext;
     socketNanos = 0;
-    final int handled = sockets.run(context);
+    final int handled = delegate.run(context);
     socketsHandledAtNanos = System.nanoTime();
     long waitedNanos = socketsHandledAtNanos - startedAtNanos - socketNanos;
-    pollOverrunNanos = Math.max(0, waitedNanos - mayWaitNanos);
+    pollOverrunNanos = Math.max(0, waitedNanos - maxWaitNanos);
     return handled;
   }
 
   @Override
   public void initialize() {
-    sockets.initialize();
+    delegate.initialize();
   }
 
   @Override
   public void prepareToDestroy() {
-    sockets.prepareToDestroy();
+    delegate.prepareToDestroy();
   }
 
   @Override
   public void destroy() {
-    sockets.destroy();
+    delegate.destroy();
   }
 
   @Override
   public IoRegistration register(IoHandle handle) throws Exception {
-    return sockets.register(handle);
+    return delegate.register(handle);
   }
 
   @Override
   public void wakeup() {
-    sockets.wakeup();
+    delegate.wakeup();
   }
 
   @Override
   public boolean isCompatible(Class<? extends IoHandle> handleType) {
-    return sockets.isCompatible(handleType);
+    return delegate.isCompatible(handleType);
   }
 
-  /** The event loop's context, which also takes how long the sockets' events were handled. */
+  /** The event loop's context, which also records the time spent on socket events. */
   private final class TimedContext implements IoHandlerContext {
     private IoHandlerContext loopContext;
 
--- a/src/main/java/merlinrouter/node/transport/Transport.java
+++ b/src/main/java/merlinrouter/node/transport/Transport.java
@@ -16,8 +16,8 @@
 import java.net.UnixDomainSocketAddress;
 
 /**
- * Chooses the kind of socket that goes with an address: TCP, or a Unix domain socket for the JVM
- * warm-up, which no other process can reach.
+ * Creates bootstraps for the kind of socket that an address requires: TCP, or a Unix domain socket
+ * for the JVM warm-up, which no other process can reach. Classifies failed connects.
  */
 public final class Transport {
   private Transport() {}
@@ -30,7 +30,7 @@
         : bootstrap.channelFactory(TcpChannel::new).option(ChannelOption.TCP_NODELAY, true);
   }
 
-  /** Returns a bootstrap for listening at an address of the kind of {@code address}. */
+  /** Returns a bootstrap for listening on an address of the kind of {@code address}. */
   public static ServerBootstrap serverBootstrap(EventLoop loop, SocketAddress address) {
     ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
     return address instanceof UnixDomainSocketAddress
@@ -42,15 +42,15 @@
   }
 
   /**
-   * Whether a connection attempt has a channel at all. Where the process could create no socket,
-   * Netty returns a placeholder that cannot be closed, and calls its listeners on another thread
-   * than the event loop's.
+   * Returns whether a connect has a channel. If the process could not create a socket, Netty
+   * returns a placeholder that cannot be closed, and notifies listeners of the connect on a thread
+   * other than the event loop's.
    */
   public static boolean hasChannel(ChannelFuture connecting) {
     return connecting.channel() instanceof AbstractNioChannel;
   }
 
-  /** Whether a connection attempt failed in this process, before anything was sent to the peer. */
+  /** Returns whether a connect failed in this process, before anything was sent to the peer. */
   public static boolean isLocalFailure(Throwable cause) {
     return cause instanceof ChannelException
         || cause instanceof SocketException
--- a/src/main/java/merlinrouter/node/transport/TurnListener.java
+++ b/src/main/java/merlinrouter/node/transport/TurnListener.java
@@ -1,8 +1,8 @@
 package merlinrouter.node.transport;
 
-/** Is notified of each turn of an event loop. Called on the event loop. */
+/** Listener for the turns of an event loop. Called on the event loop. */
 @FunctionalInterface
 public interface TurnListener {
-  /** Reports a turn that ended; the next poll begins when this returns. */
+  /** Handles the end of a turn; the next poll begins after this method returns. */
   void turnEnded(LoopTurn turn);
 }
--- a/src/main/java/merlinrouter/node/transport/package-info.java
+++ b/src/main/java/merlinrouter/node/transport/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Channels and event-loop hooks that the node adds to Netty's NIO transport: an orderly end of
- * input is distinguished from an interrupted read, and local failures from those of a peer.
+ * Channels and event-loop hooks that the node adds to Netty's NIO transport: they distinguish an
+ * orderly end of input from an interrupted read and local failures from failures of a peer, and
+ * measure event-loop stalls.
  */
 package merlinrouter.node.transport;
--- a/src/test/java/merlinrouter/node/transport/EventLoopShutdownTest.java
+++ b/src/test/java/merlinrouter/node/transport/EventLoopShutdownTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An event loop is shut down while it runs its tasks. */
+/** Shutdown of an event loop while it runs its tasks. */
 @Timeout(60)
 class EventLoopShutdownTest {
-  /** Else a warm-up leaves the node that serves without file descriptors for its clients. */
+  /** Channels that the JVM warm-up left open would take the file descriptors of later clients. */
   @Test
   void shutdownRequestedWhileTasksRunClosesChannels() throws Exception {
     EventLoopGroup group = EventLoops.newSingleLoopGroup(NioIoHandler.newFactory());
--- a/src/test/java/merlinrouter/node/transport/TimedIoHandlerTest.java
+++ b/src/test/java/merlinrouter/node/transport/TimedIoHandlerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A stall of the event loop is measured whole, and by what it consisted of. */
+/** Measurement of event-loop stalls and their parts. */
 @Timeout(120)
 class TimedIoHandlerTest {
   private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
@@ -32,7 +32,7 @@
   @Test
   void taskThatBlocksTheEventLoopCountsAsTaskTime() throws Exception {
     loop.submit(TimedIoHandlerTest::stall).get();
-    awaitTurnAfterwards();
+    awaitReportOfCurrentTurn();
     assertTrue(
         turns.stream().anyMatch(turn -> turn.taskNanos() >= STALL_NANOS), () -> "turns " + turns);
   }
@@ -41,7 +41,7 @@
   void waitingForEventsIsNoStall() throws Exception {
     loop.submit(() -> {}).get();
     loop.schedule(() -> {}, 2 * STALL_NANOS, TimeUnit.NANOSECONDS).get();
-    awaitTurnAfterwards();
+    awaitReportOfCurrentTurn();
     long activeNanos =
         turns.stream().mapToLong(turn -> turn.socketNanos() + turn.taskNanos()).sum();
     long spanNanos = turns.get(turns.size() - 1).endedAtNanos() - turns.get(0).endedAtNanos();
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void stallBeginsWhereTheWaitForEventsEnds() {
+  void stallBeginsAtTheEndOfTheWaitForEvents() {
     LoopTurn turn = new LoopTurn(1_000, 30, 200, 70);
     assertEquals(300, turn.stalledNanos());
     assertEquals(700, turn.stalledSinceNanos());
@@ -65,8 +65,8 @@
     }
   }
 
-  /** A turn is reported with the next poll. */
-  private void awaitTurnAfterwards() throws Exception {
+  /** Waits for another poll, before which the current turn is reported. */
+  private void awaitReportOfCurrentTurn() throws Exception {
     CompletableFuture<Void> polled = new CompletableFuture<>();
     EventLoops.runAfterNextPoll(loop, 0, () -> polled.complete(null));
     polled.get();
