--- a/src/main/java/merlinrouter/node/warmup/StubClients.java
+++ b/src/main/java/merlinrouter/node/warmup/StubClients.java
@@ -17,22 +17,22 @@
 import merlinrouter.node.transport.Transport;
 
 /**
- * Clients that send their next request as soon as they have a response. Used on their event loop
- * only, except where a method says otherwise.
+ * Clients that send their next request as soon as they have received a response. Used on their
+ * event loop only, except where a method says otherwise.
  */
 final class StubClients {
-  /** The gateway's controllers run once a second: a fast machine goes on until they have. */
+  /** The gateway's controllers run once a second; a shorter warm-up would not compile them. */
   private static final long MIN_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_300);
 
   private final EventLoop loop;
   private final StubRequests stubRequests;
   private final int minResponses;
-  private final long startedAt = System.nanoTime();
+  private final long startedAtNanos = System.nanoTime();
   private final CompletableFuture<Void> finished = new CompletableFuture<>();
   private int responses;
   private int served;
 
-  /** Creates clients that go on until they have at least {@code minResponses} together. */
+  /** Creates clients that send requests until they have received at least {@code minResponses}. */
   StubClients(EventLoop loop, NodeConfig config, int minResponses) {
     this.loop = loop;
     this.minResponses = minResponses;
@@ -58,12 +58,12 @@
             });
   }
 
-  /** Completes with the last response that was to come, or when a connection fails. */
+  /** Returns a future that completes when enough responses were received or a connection failed. */
   CompletableFuture<Void> finished() {
     return finished;
   }
 
-  /** How many requests were served. */
+  /** Returns the number of requests that were served with status 200. */
   int served() {
     return served;
   }
@@ -93,7 +93,7 @@
       if (response.status().equals(HttpResponseStatus.OK)) {
         served++;
       }
-      if (responses >= minResponses && System.nanoTime() - startedAt > MIN_DURATION_NANOS) {
+      if (responses >= minResponses && System.nanoTime() - startedAtNanos > MIN_DURATION_NANOS) {
         finished.complete(null);
       }
     }
--- a/src/main/java/merlinrouter/node/warmup/StubRequests.java
+++ b/src/main/java/merlinrouter/node/warmup/StubRequests.java
@@ -13,7 +13,7 @@
 import merlinrouter.node.upstream.EndpointProtocol;
 import merlinrouter.settings.RequestClass;
 
-/** Writes made-up requests that take turns through all request classes and quota plans. */
+/** Creates synthetic requests, which cycle through all request classes and quota plans. */
 final class StubRequests {
   /** Body of requests and responses. */
   static final byte[] BODY = "x".repeat(300).getBytes(StandardCharsets.US_ASCII);
@@ -21,11 +21,11 @@
   private static final String LINE_END = "\r\n";
   private static final int CUSTOMERS = 499;
 
-  /** Has as many hexadecimal digits as a customer's cookie; the first is replaced by a zero. */
+  /** Has as many hexadecimal digits as the id of a customer; the first is replaced by a zero. */
   private static final long CUSTOMER_BASE = 1L << 4 * (ClientProtocol.CUSTOMER_HEX_DIGITS - 1);
 
   private final NodeConfig config;
-  private int written;
+  private int requests;
 
   StubRequests(NodeConfig config) {
     this.config = config;
@@ -33,7 +33,7 @@
 
   /** Returns the bytes of the next request. */
   ByteBuf next(ByteBufAllocator allocator) {
-    int number = written++;
+    int number = requests++;
     List<RequestClass> classes = config.settings().requestClasses();
     RequestClass requestClass = classes.get(number % classes.size());
     boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
@@ -63,16 +63,16 @@
     append(
         head, ClientProtocol.REQUEST_CLASS, names.classes().get(number % names.classes().size()));
     append(head, ClientProtocol.QUOTA_PLAN, quotaPlan);
-    append(head, ClientProtocol.COOKIE, ClientProtocol.CUSTOMER_COOKIE + "=" + customer(number));
+    append(head, ClientProtocol.COOKIE, ClientProtocol.CUSTOMER_COOKIE + "=" + customerId(number));
     append(head, ServiceProtocol.TIMEOUT_MILLIS, Long.toString(timeoutMillis));
-    append(head, ClientProtocol.QUOTA, quota());
+    append(head, ClientProtocol.QUOTA, quotaHeader());
   }
 
-  private static String customer(int number) {
+  private static String customerId(int number) {
     return "0" + Long.toHexString(CUSTOMER_BASE + number % CUSTOMERS).substring(1);
   }
 
-  private String quota() {
+  private String quotaHeader() {
     return ClientProtocol.QUOTA_UNITS
         + "=1,"
         + ClientProtocol.QUOTA_GATEWAY_SPREAD
--- a/src/main/java/merlinrouter/node/warmup/StubServer.java
+++ b/src/main/java/merlinrouter/node/warmup/StubServer.java
@@ -24,7 +24,7 @@
 import merlinrouter.node.transport.Transport;
 import merlinrouter.node.upstream.EndpointProtocol;
 
-/** All endpoints, the counter and discovery in one. Used on its event loop only. */
+/** Stands in for all endpoints, the counter and discovery. Handles requests on its event loop. */
 final class StubServer {
   /** One request in this many is rejected, so that retries are warmed up too. */
   private static final int REJECTION_INTERVAL = 17;
@@ -105,7 +105,7 @@
       context.writeAndFlush(response);
     }
 
-    /** The node closes first, with connections open, so that a failed read is no error. */
+    /** The node is closed while its connections are open, so a failed read is not an error. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       context.close();
--- a/src/main/java/merlinrouter/node/warmup/UnixSockets.java
+++ b/src/main/java/merlinrouter/node/warmup/UnixSockets.java
@@ -8,14 +8,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Whether this process can connect to itself over Unix domain sockets. */
+/** Checks whether this process can connect to itself over Unix domain sockets. */
 final class UnixSockets {
   private UnixSockets() {}
 
   /**
-   * Connects once, which tells before anything else is prepared for it.
+   * Returns whether one connect succeeds, so that no warm-up is prepared in vain.
    *
-   * @param folder where a socket file may be made for a moment
+   * @param folder where a temporary socket file is created
    */
   static boolean areUsable(Path folder) {
     Path file = folder.resolve("probe-" + ProcessHandle.current().pid());
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -20,13 +20,14 @@
 
 /**
  * Warms up the JVM before a node serves: a second node with the same settings and a gateway of its
- * own handles made-up requests over Unix domain sockets in this process, so that what every request
- * passes is compiled before the first client waits for it. On a part of a CPU core that takes
- * seconds. A node that served during that time would stall for half a second, take its own delay
- * for its endpoints', and reject most requests, which come again at once.
+ * own handles synthetic requests over Unix domain sockets in this process, so that the code that
+ * every request runs is compiled before the first client waits for it. On a fraction of a CPU core
+ * this takes seconds. A node that served clients during that time would stall for half a second,
+ * attribute its own delay to its endpoints, and reject most requests, which clients would send
+ * again immediately.
  *
- * <p>Every start is warmed up, also one after a crash. Since other nodes bear the load during that
- * time, the time is limited, and a node whose warm-up fails serves without.
+ * <p>Every start is warmed up, including one after a crash. The duration is limited, since other
+ * nodes carry the load meanwhile, and a node whose warm-up fails serves without one.
  */
 public final class WarmUp implements AutoCloseable {
   private static final int ENDPOINTS = 8;
@@ -43,28 +44,28 @@
   private WarmUp(NodeConfig config, int minRequests, Path parent) throws IOException {
     this.config = config;
     clients = new StubClients(loop, config, minRequests);
-    // A random name would cost the start the initialization of the system's random numbers.
+    // A random name would add the initialization of a random number generator to the start.
     folder = Files.createDirectory(parent.resolve("warm-up-" + ProcessHandle.current().pid()));
   }
 
   /**
-   * Warms up the JVM; blocks until that is done. A failure is reported on standard error.
+   * Warms up the JVM; blocks until this is done. A failure is reported on standard error.
    *
    * @param config configuration of the node that is to serve
-   * @param minRequests how many requests are handled at least, unless time is up
+   * @param minRequests minimum number of requests to handle, unless the maximum time is reached
    * @param maxMillis maximum time
-   * @param parent folder for a folder of sockets, which is removed again
-   * @return how many requests were served; 0 if the warm-up failed
+   * @param parent where a temporary folder for the sockets is created
+   * @return the number of requests that were served; 0 if the warm-up failed
    */
   public static int run(NodeConfig config, int minRequests, long maxMillis, Path parent) {
     if (!UnixSockets.areUsable(parent)) {
-      System.err.println("no warm-up: Unix sockets are refused");
+      System.err.println("JVM warm-up skipped: cannot connect over a Unix socket in " + parent);
       return 0;
     }
     try (WarmUp warmUp = new WarmUp(config, minRequests, parent)) {
       return warmUp.handleRequests(maxMillis);
     } catch (Exception e) {
-      ErrorLog.report("no warm-up", e);
+      ErrorLog.report("JVM warm-up failed", e);
       return 0;
     }
   }
@@ -91,7 +92,7 @@
     try {
       clients.finished().get(maxMillis, TimeUnit.MILLISECONDS);
     } catch (TimeoutException expected) {
-      // What was warmed up by now has to do.
+      // The node serves with what has been compiled so far.
     }
   }
 
--- a/src/main/java/merlinrouter/node/warmup/WarmUpConfig.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUpConfig.java
@@ -19,9 +19,9 @@
   /**
    * Returns the configuration of the warm-up node.
    *
-   * @param config that of the node that is to serve
-   * @param listen where the warm-up node listens
-   * @param endpoints where the stub server listens
+   * @param config the configuration of the node that is to serve
+   * @param listen address on which the warm-up node listens
+   * @param endpoints addresses on which the stub server listens
    */
   static NodeConfig of(NodeConfig config, SocketAddress listen, List<SocketAddress> endpoints) {
     SocketAddress stubServer = endpoints.get(0);
@@ -30,7 +30,7 @@
         stubServer,
         config.counter() == null ? null : stubServer,
         config.seed(),
-        // Both ends of each connection are in this process.
+        // Half, since both ends of each connection are in this process.
         config.maxSockets() / 2,
         config.memoryLimitBytes(),
         config.cores(),
@@ -41,7 +41,7 @@
         withoutHardLimits(config.settings()));
   }
 
-  /** One endpoint has just started, so that slow start is warmed up too. */
+  /** Returns endpoints, one of which has just started, so that slow start is warmed up too. */
   private static List<EndpointEntry> entries(NodeConfig config, List<SocketAddress> addresses) {
     int zones = Math.max(1, config.names().zones().size());
     long nowNanos = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
@@ -55,7 +55,10 @@
     return entries;
   }
 
-  /** A hard limit's bucket starts empty and would reject all that is sent at once. */
+  /**
+   * Returns the settings without hard limits, whose token buckets start empty and would reject
+   * requests that are sent immediately.
+   */
   private static GatewaySettings withoutHardLimits(GatewaySettings settings) {
     List<QuotaPlan> plans = new ArrayList<>();
     for (QuotaPlan plan : settings.quotaPlans()) {
--- a/src/main/java/merlinrouter/node/warmup/package-info.java
+++ b/src/main/java/merlinrouter/node/warmup/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JVM warm-up before a node serves: a second node in the same process handles made-up requests
- * between a stub client and a stub server, so that the code which every request passes is compiled.
+ * JVM warm-up before a node serves: a second node in the same process handles synthetic requests
+ * between stub clients and a stub server, so that the code that every request runs is compiled.
  */
 package merlinrouter.node.warmup;
--- a/src/test/java/merlinrouter/node/warmup/UnixSocketsTest.java
+++ b/src/test/java/merlinrouter/node/warmup/UnixSocketsTest.java
@@ -10,20 +10,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A start must not spend its time on a warm-up that cannot connect. */
+/** Guards against a start that spends time on a warm-up which cannot connect. */
 class UnixSocketsTest {
   @TempDir Path folder;
 
   @Test
-  void theyAreUsableWhereAProcessCanConnectToItself() throws Exception {
+  void socketsAreUsableIfTheProcessCanConnectToItself() throws Exception {
     assertTrue(UnixSockets.areUsable(folder));
     try (Stream<Path> files = Files.list(folder)) {
-      assertEquals(0, files.count(), "it must leave no file");
+      assertEquals(0, files.count(), "the check must delete its socket file");
     }
   }
 
   @Test
-  void theyAreNotUsableWhereNoSocketCanBeMade() {
+  void socketsAreNotUsableIfNoSocketFileCanBeCreated() {
     assertFalse(UnixSockets.areUsable(folder.resolve("none")));
   }
 }
