--- a/src/main/java/merlinrouter/node/counter/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -40,7 +40,7 @@
     bootstrap =
         // All addresses are of one kind, TCP or Unix. Only discovery's is used here, since the
         // counter's may be absent.
-        Transport.connecting(loop, config.discovery())
+        Transport.clientBootstrap(loop, config.discovery())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMillis));
     for (int i = 0; i < SHARDS; i++) {
       shards[i] = new CounterShard(loop, callTimeoutNanos, this::connect);
--- a/src/main/java/merlinrouter/node/counter/CounterResponse.java
+++ b/src/main/java/merlinrouter/node/counter/CounterResponse.java
@@ -37,7 +37,7 @@
    * counter's total unknown, and the connection is not used further.
    */
   private static CounterResponse added(ByteBuf body, boolean keepAlive) {
-    double total = StrictDecimal.number(body.toString(StandardCharsets.US_ASCII).strip());
+    double total = StrictDecimal.parseFinite(body.toString(StandardCharsets.US_ASCII).strip());
     return Double.isNaN(total)
         ? new CounterResponse(Outcome.RESET, 0, false)
         : new CounterResponse(Outcome.OK, total, keepAlive);
