--- a/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
@@ -158,7 +158,7 @@
   private boolean wasRead(RequestRecord request) {
     // A close with received and unread bytes would have sent a reset.
     boolean receivedBeforeClose = latencyNanos(request) > MAX_TRANSFER_NANOS + emulatorDelayNanos;
-    return !request.attempts().isEmpty() || request.isEndedInOrder() && receivedBeforeClose;
+    return !request.attempts().isEmpty() || request.endedWithOrderlyClose() && receivedBeforeClose;
   }
 
   private void checkResponse(RequestRecord request, List<Violation> violations) {
--- a/emulator/src/main/java/merlinrouter/emulator/peer/Client.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/Client.java
@@ -84,11 +84,11 @@
       socket.setSoTimeout((int) request.timeoutMillis() + EXTRA_WAIT_MILLIS);
       HttpMessage response = HttpMessage.read(socket.getInputStream());
       if (response == null) {
-        request.endInOrder();
+        request.endWithOrderlyClose();
         close();
         return;
       }
-      request.respond(response.status(), response.body());
+      request.endWithResponse(response.status(), response.body());
       if ("close".equalsIgnoreCase(response.header("Connection", ""))) {
         close();
       }
--- a/emulator/src/main/java/merlinrouter/emulator/request/RequestRecord.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/RequestRecord.java
@@ -22,7 +22,7 @@
   private volatile String body = "";
   private volatile boolean connectionReused;
   private volatile boolean incomplete;
-  private volatile boolean endedInOrder;
+  private volatile boolean orderlyClose;
   private volatile long clientCpuWaitNanos;
 
   /**
@@ -101,7 +101,7 @@
   }
 
   /** Records a complete response, which ends the request. */
-  public void respond(int responseStatus, String responseBody) {
+  public void endWithResponse(int responseStatus, String responseBody) {
     status = responseStatus;
     body = responseBody;
     end(ClientOutcome.RESPONDED);
@@ -114,14 +114,14 @@
   }
 
   /** Records that the node closed the connection in order (FIN) before a complete response. */
-  public void endInOrder() {
-    endedInOrder = true;
+  public void endWithOrderlyClose() {
+    orderlyClose = true;
     end(ClientOutcome.CONNECTION_CLOSED);
   }
 
   /** Whether the node closed the connection in order, not by a reset, before a response. */
-  public boolean isEndedInOrder() {
-    return endedInOrder;
+  public boolean endedWithOrderlyClose() {
+    return orderlyClose;
   }
 
   /** Records how long the client's thread waited for a CPU from the sending to the end. */
--- a/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
@@ -30,7 +30,7 @@
 
   private RequestRecord servedRequest(RequestClass requestClass) {
     RequestRecord request = sentRequest(requestClass);
-    request.respond(200, request.expectedBody());
+    request.endWithResponse(200, request.expectedBody());
     return request;
   }
 
@@ -104,7 +104,7 @@
   @Test
   void responseOfAnotherRequestIsReported() {
     RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
-    request.respond(200, RequestRecord.expectedBody("another"));
+    request.endWithResponse(200, RequestRecord.expectedBody("another"));
     assertViolates(request, Invariant.OWN_RESPONSE_ONLY);
   }
 
@@ -182,7 +182,7 @@
     request.setConnectionReused(true);
     request.markSent();
     Thread.sleep(ORDERLY_CLOSE_DELAY_MILLIS);
-    request.endInOrder();
+    request.endWithOrderlyClose();
     assertViolates(request, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
   }
 
--- a/emulator/src/test/java/merlinrouter/emulator/soak/ResponseMarginsTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/ResponseMarginsTest.java
@@ -62,7 +62,7 @@
   @Test
   void theMarginIsWhatTheClientsTimeLeavesAfterTheResponse() {
     RequestRecord request = request();
-    request.respond(200, request.expectedBody());
+    request.endWithResponse(200, request.expectedBody());
     lateness.of(NODE).add(request.sentAtNanos() - 1, request.endedAtNanos() + 1);
     long latencyNanos = request.endedAtNanos() - request.sentAtNanos();
     ResponseMargins margins = ResponseMargins.of(requests.requests(), lateness, nanos -> nanos);
@@ -91,7 +91,7 @@
     request().end(ClientOutcome.CLIENT_DISCONNECTED);
     RequestRecord incomplete = request();
     incomplete.markIncomplete();
-    incomplete.respond(400, "");
+    incomplete.endWithResponse(400, "");
     assertEquals(0, ResponseMargins.of(requests.requests(), lateness, nanos -> nanos).count());
   }
 }
