--- a/emulator/src/main/java/merlinrouter/emulator/Main.java
+++ b/emulator/src/main/java/merlinrouter/emulator/Main.java
@@ -14,14 +14,14 @@
   private Main() {}
 
   /**
-   * Runs a command: 0 if it passed, 1 if it found a violation, 2 for a bad command line, 3 if the
-   * emulator was too late to tell.
+   * Runs a command and exits with its status: 0 if it passed, 1 if it failed, 2 for a bad command
+   * line, 3 if the emulator's own threads were too late for a verdict.
    */
   public static void main(String[] args) {
     System.exit(commandLine().execute(args));
   }
 
-  /** The command line, which answers bad options with one line. */
+  /** Returns the command line, which reports a bad option with one line. */
   static CommandLine commandLine() {
     CommandLine commandLine = new CommandLine(new Main());
     commandLine.setParameterExceptionHandler(
--- a/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
@@ -11,9 +11,9 @@
 import merlinrouter.emulator.request.RequestClass;
 import merlinrouter.emulator.request.RequestRecord;
 
-/** Checks the requests of a run against the invariants. Any thread may call. */
+/** Checks the requests of a run against the invariants. Thread-safe. */
 public final class InvariantChecker {
-  /** A response so long after the client's deadline counts as none. */
+  /** A response that is later than this after the client's deadline counts as missing. */
   public static final long MAX_LATE_RESPONSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private static final int STATUS_OK = 200;
@@ -22,35 +22,35 @@
   private static final long MAX_ATTEMPT_AFTER_END_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
   private static final long MAX_EXCESS_TIMEOUT_MILLIS = 150;
 
-  /** Time within which a node must know a change that a reachable discovery has published. */
+  /** Time within which a node must receive a change that a reachable discovery has published. */
   private static final long MAX_DISCOVERY_DELAY_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-  /** Time during which a node that knows of the draining may still forward requests. */
+  /** Time for which a node may still forward requests after it has received a draining state. */
   private static final long DRAIN_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
 
-  /** A request that was sent so long before an orderly close had been received before it. */
+  /** A request sent longer than this before an orderly close was received before the close. */
   private static final long MAX_TRANSFER_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** A span of a node's life. */
+  /** A time span of one node. */
   private record Span(String nodeName, long startNanos, long endNanos) {
-    boolean overlaps(RequestRecord request, long delayNanos) {
+    boolean overlaps(RequestRecord request, long toleranceNanos) {
       return nodeName.equals(request.nodeName())
-          && request.startedAtNanos() - endNanos <= delayNanos
-          && startNanos - request.endedAtNanos() <= delayNanos;
+          && request.startedAtNanos() - endNanos <= toleranceNanos
+          && startNanos - request.endedAtNanos() <= toleranceNanos;
     }
   }
 
   private final long emulatorDelayNanos;
-  private final List<Span> kills = new CopyOnWriteArrayList<>();
-  private final List<Span> crowds = new CopyOnWriteArrayList<>();
+  private final List<Span> killSpans = new CopyOnWriteArrayList<>();
+  private final List<Span> idleClientSpans = new CopyOnWriteArrayList<>();
 
-  /** From when on discovery could tell that an endpoint drains, by the endpoint's id. */
+  /** Time from which discovery could deliver an endpoint's draining state, by endpoint id. */
   private final Map<String, Long> drainingPublishedAtNanos = new ConcurrentHashMap<>();
 
   /**
    * Creates a checker.
    *
-   * @param emulatorDelayMillis allowance for delays of the emulator's own threads when they take
+   * @param emulatorDelayMillis allowance for delays of the emulator's own threads when they record
    *     the time of an event
    */
   public InvariantChecker(long emulatorDelayMillis) {
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Records that an endpoint began to drain.
+   * Records that an endpoint started to drain.
    *
    * @param publishedAtNanos when a reachable discovery published it
    */
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Records that discovery can be reached again: changes that it could not tell in time before the
-   * outage count as published now.
+   * Records that discovery can be reached again. Changes that it published less than 6 s before the
+   * outage or during it count as published now, since nodes may not have received them.
    */
   public void discoveryRecovered(long outageStartNanos, long nowNanos) {
     drainingPublishedAtNanos.replaceAll(
@@ -79,32 +79,33 @@
   }
 
   /**
-   * Records that a node was killed outright: it owes no response to the requests of that time.
+   * Records that a node was killed by SIGKILL. Requests that overlap with the time between signal
+   * and end need not get a response.
    *
-   * @param killedAtNanos before the signal was sent
+   * @param killedAtNanos a time shortly before the signal was sent
    * @param endedAtNanos when the process had ended
    */
   public void nodeKilled(String nodeName, long killedAtNanos, long endedAtNanos) {
-    kills.add(new Span(nodeName, killedAtNanos, endedAtNanos));
+    killSpans.add(new Span(nodeName, killedAtNanos, endedAtNanos));
   }
 
   /**
-   * Records that idle clients took a node's file descriptors for a time: it may have closed new
-   * connections unread.
+   * Records that idle clients used up a node's file descriptors for a time, in which the node may
+   * have closed new connections without reading from them.
    */
-  public void crowded(String nodeName, long cameAtNanos, long leftAtNanos) {
-    crowds.add(new Span(nodeName, cameAtNanos, leftAtNanos));
+  public void idleClientsConnected(String nodeName, long startNanos, long endNanos) {
+    idleClientSpans.add(new Span(nodeName, startNanos, endNanos));
   }
 
-  private boolean isWithin(List<Span> spans, RequestRecord request) {
+  private boolean overlapsAny(List<Span> spans, RequestRecord request) {
     return spans.stream().anyMatch(span -> span.overlaps(request, emulatorDelayNanos));
   }
 
-  /** Returns what a request violates. */
+  /** Returns the violations of a request. */
   public List<Violation> check(RequestRecord request) {
     List<Violation> violations = new ArrayList<>();
-    if (!isWithin(kills, request)) {
-      checkOwedEnd(request, violations);
+    if (!overlapsAny(killSpans, request)) {
+      checkEnd(request, violations);
     }
     boolean mayHaveBeenExecuted = false;
     for (Attempt attempt : request.attempts()) {
@@ -117,11 +118,11 @@
     return violations;
   }
 
-  private void checkOwedEnd(RequestRecord request, List<Violation> violations) {
+  private void checkEnd(RequestRecord request, List<Violation> violations) {
     if (request.isIncomplete()) {
       checkIncompleteRequest(request, violations);
     } else {
-      checkEnd(request, violations);
+      checkCompleteRequest(request, violations);
     }
   }
 
@@ -136,27 +137,28 @@
         Invariant.INCOMPLETE_REQUEST_ENDED, request, MAX_INCOMPLETE_REQUEST_NANOS, violations);
   }
 
-  private void checkEnd(RequestRecord request, List<Violation> violations) {
+  private void checkCompleteRequest(RequestRecord request, List<Violation> violations) {
     switch (request.outcome()) {
       case NO_RESPONSE -> violations.add(violation(Invariant.RESPONSE_IN_TIME, request));
       case RESPONDED -> checkResponse(request, violations);
       case CONNECTION_CLOSED -> {
-        // A node may close an idle connection while a request that it has not read is on its way,
-        // and a new one while idle clients take its descriptors.
-        boolean mayCloseUnread = request.isConnectionReused() || isWithin(crowds, request);
+        // A node may close an idle connection while a request that it has not read is in transit,
+        // and a new connection while idle clients use up its descriptors.
+        boolean mayCloseUnread =
+            request.isConnectionReused() || overlapsAny(idleClientSpans, request);
         if (!mayCloseUnread || wasRead(request)) {
           violations.add(violation(Invariant.NO_CLOSE_WITHOUT_RESPONSE, request));
         }
       }
       default -> {
-        // Nothing is owed to a client that disconnected or never sent its request.
+        // A client that disconnected or never sent its request need not get a response.
       }
     }
   }
 
-  /** Whether a node had read a request before it closed the connection. */
+  /** Returns whether a node had read a request before it closed the connection. */
   private boolean wasRead(RequestRecord request) {
-    // A close with received and unread bytes would have sent a reset.
+    // The kernel sends a reset, not a FIN, for a close with received bytes that were not read.
     boolean receivedBeforeClose = latencyNanos(request) > MAX_TRANSFER_NANOS + emulatorDelayNanos;
     return !request.attempts().isEmpty() || request.endedWithOrderlyClose() && receivedBeforeClose;
   }
@@ -171,7 +173,7 @@
     }
   }
 
-  /** Checks when the client saw the end of its request. */
+  /** Checks the time from the sending of a request to its end for the client. */
   private void checkLatency(
       Invariant invariant, RequestRecord request, long maxNanos, List<Violation> violations) {
     long excessNanos = latencyNanos(request) - maxNanos - emulatorDelayNanos;
@@ -184,7 +186,7 @@
     long receivedAtNanos = attempt.receivedAtNanos();
     if (request.hasEnded()) {
       long afterEndNanos = receivedAtNanos - request.endedAtNanos();
-      checkReceived(
+      checkReceiptTime(
           Invariant.NO_ATTEMPT_AFTER_END,
           request,
           attempt,
@@ -195,7 +197,7 @@
     long remainingMillis = request.timeoutMillis() - elapsedMillis;
     long excessMillis =
         attempt.forwardedTimeoutMillis() - remainingMillis - MAX_EXCESS_TIMEOUT_MILLIS;
-    checkReceived(
+    checkReceiptTime(
         Invariant.FORWARDED_TIMEOUT_WITHIN_DEADLINE,
         request,
         attempt,
@@ -204,7 +206,7 @@
     Long publishedAtNanos = drainingPublishedAtNanos.get(attempt.endpointId());
     if (publishedAtNanos != null) {
       long afterPublishedNanos = receivedAtNanos - publishedAtNanos;
-      checkReceived(
+      checkReceiptTime(
           Invariant.NOT_FORWARDED_TO_DRAINING,
           request,
           attempt,
@@ -213,8 +215,12 @@
     }
   }
 
-  /** Checks by how much the receipt of an attempt exceeded a limit, before the allowance. */
-  private void checkReceived(
+  /**
+   * Checks a limit on the time at which an attempt was received.
+   *
+   * @param excessNanos by how much the time exceeded the limit, before the allowance
+   */
+  private void checkReceiptTime(
       Invariant invariant,
       RequestRecord request,
       Attempt attempt,
--- a/emulator/src/main/java/merlinrouter/emulator/invariant/Violation.java
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/Violation.java
@@ -5,24 +5,26 @@
  *
  * @param invariant what was violated
  * @param evidence what was observed of the request
- * @param observer whose time shows the violation: an upstream server's id, or the name of the node
- *     whose client it was; empty if no time shows it
- * @param excessNanos by how much the time exceeded its limit; 0 if no time shows the violation
+ * @param observer the observer whose measured time shows the violation: the id of an upstream
+ *     server, or the name of the node whose client measured it; empty if the violation does not
+ *     depend on a time
+ * @param excessNanos by how much the time exceeded its limit; 0 if the violation does not depend on
+ *     a time
  */
 public record Violation(Invariant invariant, String evidence, String observer, long excessNanos) {
-  /** A violation that is one whenever the events were observed. */
+  /** Creates a violation that does not depend on the time of an observation. */
   static Violation untimed(Invariant invariant, String evidence) {
     return new Violation(invariant, evidence, "", 0);
   }
 
-  /** Whether it is shown by the time of an observation alone. */
+  /** Returns whether only the time of an observation shows the violation. */
   public boolean isTimed() {
     return excessNanos > 0;
   }
 
-  /** The same violation with more evidence in front. */
-  public Violation withEvidence(String more) {
-    return new Violation(invariant, more + evidence, observer, excessNanos);
+  /** Returns the same violation with more text in front of its evidence. */
+  public Violation withEvidencePrefix(String prefix) {
+    return new Violation(invariant, prefix + evidence, observer, excessNanos);
   }
 
   @Override
--- a/emulator/src/main/java/merlinrouter/emulator/invariant/package-info.java
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/package-info.java
@@ -1,2 +1,2 @@
-/** Checks what was observed of a run's requests against the invariants of the service. */
+/** Checks what was observed of a run's requests against the service's invariants. */
 package merlinrouter.emulator.invariant;
--- a/emulator/src/main/java/merlinrouter/emulator/package-info.java
+++ b/emulator/src/main/java/merlinrouter/emulator/package-info.java
@@ -4,8 +4,8 @@
  *
  * <p>The peers are clients, upstream servers, discovery and the quota counter ({@link
  * merlinrouter.emulator.peer}). Faults are failing system calls and wall-clock steps within a node
- * ({@link merlinrouter.emulator.fleet}), bad networks, and peers that misbehave. What clients and
- * upstream servers observed of each request ({@link merlinrouter.emulator.request}) is checked
+ * ({@link merlinrouter.emulator.fleet}), degraded networks, and peers that misbehave. What clients
+ * and upstream servers observed of each request ({@link merlinrouter.emulator.request}) is checked
  * against the invariants ({@link merlinrouter.emulator.invariant}). The tests provoke one fault at
  * a time; a soak test ({@link merlinrouter.emulator.soak}) overlaps random ones.
  *
--- a/emulator/src/main/java/merlinrouter/emulator/request/ClientOutcome.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/ClientOutcome.java
@@ -1,6 +1,6 @@
 package merlinrouter.emulator.request;
 
-/** How a request ended, as its client saw it. */
+/** How a request ended, as observed by its client. */
 public enum ClientOutcome {
   /** It has not ended. */
   PENDING,
@@ -8,10 +8,10 @@
   RESPONDED,
   /** The node closed or reset the connection before a complete response. */
   CONNECTION_CLOSED,
-  /** Nothing was received until the client stopped waiting. */
+  /** No complete response was received before the client stopped waiting. */
   NO_RESPONSE,
   /** No connection could be opened: the request was never sent. */
   NOT_CONNECTED,
-  /** The client disconnected first. */
+  /** The client disconnected without reading a response. */
   CLIENT_DISCONNECTED
 }
--- a/emulator/src/main/java/merlinrouter/emulator/request/RequestClass.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/RequestClass.java
@@ -1,6 +1,6 @@
 package merlinrouter.emulator.request;
 
-/** The request classes of the nodes' configuration, {@code node.json}. */
+/** A request class of the nodes' configuration, {@code node.json}. */
 public enum RequestClass {
   /** May be executed any number of times. */
   IDEMPOTENT("lookup", "GET"),
@@ -17,17 +17,17 @@
     this.method = method;
   }
 
-  /** The class's name in the configuration and on the wire. */
+  /** Returns the class's name in the configuration and on the wire. */
   public String configuredName() {
     return configuredName;
   }
 
-  /** The HTTP method of its requests. */
+  /** Returns the HTTP method of its requests. */
   public String method() {
     return method;
   }
 
-  /** Whether its requests have a body. */
+  /** Returns whether its requests have a body. */
   public boolean hasBody() {
     return this != IDEMPOTENT;
   }
--- a/emulator/src/main/java/merlinrouter/emulator/request/RequestRecord.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/RequestRecord.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the client and the upstream servers observed of one request. The client's part is written by
- * the client's thread alone and may be read by any thread; attempts may be added by any thread.
+ * What the client and the upstream servers observed of one request. The client's observations are
+ * written only by the client's thread and may be read by any thread; attempts may be added by any
+ * thread.
  */
 public final class RequestRecord {
   private final String id;
@@ -31,7 +32,7 @@
    * @param id identifies the request on the wire
    * @param nodeName the node that it is sent to
    * @param requestClass its class
-   * @param timeoutMillis how long its client waits for a response
+   * @param timeoutMillis the timeout that its client sends with it
    */
   RequestRecord(String id, String nodeName, RequestClass requestClass, long timeoutMillis) {
     this.id = id;
@@ -40,32 +41,32 @@
     this.timeoutMillis = timeoutMillis;
   }
 
-  /** The node that the request is sent to. */
+  /** Returns the name of the node that the request is sent to. */
   public String nodeName() {
     return nodeName;
   }
 
-  /** Identifies the request on the wire. */
+  /** Returns the id that identifies the request on the wire. */
   public String id() {
     return id;
   }
 
-  /** The request's class. */
+  /** Returns the request's class. */
   public RequestClass requestClass() {
     return requestClass;
   }
 
-  /** How long the client waits for a response, in milliseconds. */
+  /** Returns the timeout that the client sends with the request, in milliseconds. */
   public long timeoutMillis() {
     return timeoutMillis;
   }
 
-  /** Records whether the request is sent on a connection that had carried one before. */
+  /** Records whether the request is sent on a connection that carried an earlier request. */
   public void setConnectionReused(boolean connectionReused) {
     this.connectionReused = connectionReused;
   }
 
-  /** Whether the request was sent on a connection that had carried one before. */
+  /** Returns whether the request was sent on a connection that carried an earlier request. */
   public boolean isConnectionReused() {
     return connectionReused;
   }
@@ -75,27 +76,27 @@
     incomplete = true;
   }
 
-  /** Whether the client sends only a part of the request. */
+  /** Returns whether the client sends only a part of the request. */
   public boolean isIncomplete() {
     return incomplete;
   }
 
-  /** Records that the client begins to connect or to write. */
+  /** Records that the client starts to connect or to write. */
   public void markStarted() {
     startedAtNanos = System.nanoTime();
   }
 
-  /** When the client began to connect or to write; 0 if it has not. */
+  /** Returns when the client started to connect or to write, or 0 if it has not. */
   public long startedAtNanos() {
     return startedAtNanos;
   }
 
-  /** Records that the client has written all that it sends. */
+  /** Records that the client has written everything that it sends. */
   public void markSent() {
     sentAtNanos = System.nanoTime();
   }
 
-  /** When the client had written all that it sends; 0 if it has not. */
+  /** Returns when the client had written everything that it sends, or 0 if it has not. */
   public long sentAtNanos() {
     return sentAtNanos;
   }
@@ -108,63 +109,63 @@
   }
 
   /** Records how the request ended. */
-  public void end(ClientOutcome how) {
+  public void end(ClientOutcome clientOutcome) {
     endedAtNanos = System.nanoTime();
-    outcome = how;
+    outcome = clientOutcome;
   }
 
-  /** Records that the node closed the connection in order (FIN) before a complete response. */
+  /** Records an orderly close (FIN) of the connection by the node before a complete response. */
   public void endWithOrderlyClose() {
     orderlyClose = true;
     end(ClientOutcome.CONNECTION_CLOSED);
   }
 
-  /** Whether the node closed the connection in order, not by a reset, before a response. */
+  /** Returns whether the node closed the connection by a FIN, not a reset, before a response. */
   public boolean endedWithOrderlyClose() {
     return orderlyClose;
   }
 
-  /** Records how long the client's thread waited for a CPU from the sending to the end. */
+  /** Records how long the client's thread waited for a CPU while it waited for the response. */
   public void setClientCpuWaitNanos(long clientCpuWaitNanos) {
     this.clientCpuWaitNanos = clientCpuWaitNanos;
   }
 
-  /** How long the client's thread waited for a CPU while it waited for the response. */
+  /** Returns how long the client's thread waited for a CPU while it waited for the response. */
   public long clientCpuWaitNanos() {
     return clientCpuWaitNanos;
   }
 
-  /** How the request ended. */
+  /** Returns how the request ended. */
   public ClientOutcome outcome() {
     return outcome;
   }
 
-  /** Whether the client has seen the request's end. */
+  /** Returns whether the request has ended for its client. */
   public boolean hasEnded() {
     return outcome != ClientOutcome.PENDING;
   }
 
-  /** When the request ended; 0 if it has not. */
+  /** Returns when the request ended, or 0 if it has not. */
   public long endedAtNanos() {
     return endedAtNanos;
   }
 
-  /** The response's status; 0 without a response. */
+  /** Returns the response's status, or 0 without a response. */
   public int status() {
     return status;
   }
 
-  /** The response's body; empty without a response. */
+  /** Returns the response's body, which is empty without a response. */
   public String body() {
     return body;
   }
 
-  /** The body of the response that upstream servers give to this request and to no other. */
+  /** Returns the response body that upstream servers send for this request and for no other. */
   public String expectedBody() {
     return expectedBody(id);
   }
 
-  /** The body of the response that upstream servers give to the request with this id. */
+  /** Returns the response body that upstream servers send for the request with this id. */
   public static String expectedBody(String requestId) {
     return "answer to " + requestId + "\n";
   }
@@ -174,7 +175,7 @@
     attempts.add(attempt);
   }
 
-  /** The attempts so far, in the order of their arrival. */
+  /** Returns the attempts so far, in the order in which they were added. */
   public synchronized List<Attempt> attempts() {
     return List.copyOf(attempts);
   }
@@ -198,7 +199,7 @@
     return text.toString();
   }
 
-  private long millisSinceSent(long momentNanos) {
-    return TimeUnit.NANOSECONDS.toMillis(momentNanos - sentAtNanos);
+  private long millisSinceSent(long timeNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(timeNanos - sentAtNanos);
   }
 }
--- a/emulator/src/main/java/merlinrouter/emulator/request/RequestRegistry.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/RequestRegistry.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** All requests of a run by their ids. Any thread may call. */
+/** Holds all requests of a run by their ids. Thread-safe. */
 public final class RequestRegistry {
   private final Map<String, RequestRecord> requests = new ConcurrentHashMap<>();
   private final Set<String> markedIds = ConcurrentHashMap.newKeySet();
   private final AtomicLong unknownAttempts = new AtomicLong();
   private final AtomicLong lastId = new AtomicLong();
 
-  /** Creates the record of a new request, with an id of its own. */
+  /** Creates the record of a new request with a unique id. */
   public RequestRecord register(String nodeName, RequestClass requestClass, long timeoutMillis) {
     String id = String.format("r%08d", lastId.incrementAndGet());
     RequestRecord request = new RequestRecord(id, nodeName, requestClass, timeoutMillis);
@@ -31,17 +31,17 @@
     }
   }
 
-  /** Marks a request to which a test's upstream servers shall behave differently. */
+  /** Marks a request that a test's upstream servers treat differently. */
   public void mark(String requestId) {
     markedIds.add(requestId);
   }
 
-  /** Whether a request was marked. */
+  /** Returns whether a request was marked. */
   public boolean isMarked(String requestId) {
     return markedIds.contains(requestId);
   }
 
-  /** How many attempts an upstream server has received. */
+  /** Returns the number of attempts that an upstream server has received. */
   public long attemptsAt(String endpointId) {
     return requests.values().stream()
         .flatMap(request -> request.attempts().stream())
@@ -49,12 +49,12 @@
         .count();
   }
 
-  /** All requests so far. */
+  /** Returns all requests so far. */
   public List<RequestRecord> requests() {
     return List.copyOf(requests.values());
   }
 
-  /** How many attempts carried an id that no client sent. */
+  /** Returns the number of attempts that carried an id that no client sent. */
   public long unknownAttempts() {
     return unknownAttempts.get();
   }
--- a/emulator/src/main/java/merlinrouter/emulator/request/package-info.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What clients and upstream servers observed of each request. All moments are {@link
- * System#nanoTime()} of the emulator's process.
+ * Records of what clients and upstream servers observed of each request. All times are {@link
+ * System#nanoTime()} values of the emulator's process.
  */
 package merlinrouter.emulator.request;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
@@ -159,7 +159,7 @@
       }
       Thread.sleep(outageMillis + CROWD_MARGIN_MILLIS);
     }
-    checker.crowded(node.name(), cameAtNanos, System.nanoTime());
+    checker.idleClientsConnected(node.name(), cameAtNanos, System.nanoTime());
     log.add("the crowd at " + node.name() + " has left");
   }
 }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakRun.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakRun.java
@@ -138,11 +138,11 @@
   private Violation withTimes(Violation violation, RequestRecord request) {
     long sentMillis = faultLog.millisSinceStart(request.sentAtNanos());
     if (!violation.isTimed()) {
-      return violation.withEvidence("sent at " + sentMillis + " ms, ");
+      return violation.withEvidencePrefix("sent at " + sentMillis + " ms, ");
     }
     long lateNanos =
         lateness.latenessNanos(violation, request.sentAtNanos(), lastObservationNanos(request));
-    return violation.withEvidence(
+    return violation.withEvidencePrefix(
         String.format(
             "sent at %d ms, %d ms over the limit by the time of %s, which was late by %d ms, ",
             sentMillis,
--- a/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
@@ -217,7 +217,7 @@
     RequestRecord unread = closedRequest(false);
     RequestRecord forwarded = closedRequest(false);
     addAttempt(forwarded, 1, TIMEOUT_MILLIS - 1, false);
-    checker.crowded("n0", cameAtNanos, System.nanoTime());
+    checker.idleClientsConnected("n0", cameAtNanos, System.nanoTime());
     assertViolates(unread);
     assertViolates(forwarded, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
     assertViolates(closedRequest(false), Invariant.NO_CLOSE_WITHOUT_RESPONSE);
