--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultInjector.java
@@ -12,7 +12,8 @@
 import merlinrouter.emulator.peer.UpstreamServer.Behavior;
 
 /**
- * Injects scheduled faults and ends them in time. Used by one thread, but where a method says so.
+ * Injects scheduled faults and ends them after their durations. Used by one thread, except for
+ * methods that say otherwise.
  */
 final class FaultInjector {
   private static final List<Errno> SOCKET_ERRORS =
@@ -34,7 +35,7 @@
   private final Timers timers;
   private final FaultLog log;
 
-  /** When the current outage of discovery began; 0 while there is none. */
+  /** Start of the current outage of discovery, or 0 without an outage. */
   private volatile long discoveryOutageStartNanos;
 
   FaultInjector(
@@ -52,15 +53,16 @@
     this.log = log;
   }
 
-  /** Begins a fault. */
+  /** Starts a fault and schedules its end. */
   void inject(ScheduledFault fault) throws IOException, InterruptedException {
     Fleet.Node node = fleet.nodes().get(fault.selector() % fleet.nodes().size());
     SoakUpstreams.Upstream upstream = upstreams.pick(fault.selector());
-    log.begins(fault.kind(), describe(node, upstream, fault));
+    log.recordStart(fault.kind(), describe(node, upstream, fault));
     switch (fault.kind()) {
-      case ACCEPT_FAILS -> failCalls(node, Fault.ACCEPT, error(SOCKET_ERRORS, fault), fault);
-      case SOCKET_FAILS -> failCalls(node, Fault.SOCKET, error(SOCKET_ERRORS, fault), fault);
-      case CONNECT_FAILS -> failCalls(node, Fault.CONNECT, error(CONNECT_ERRORS, fault), fault);
+      case ACCEPT_FAILS -> failCalls(node, Fault.ACCEPT, selectError(SOCKET_ERRORS, fault), fault);
+      case SOCKET_FAILS -> failCalls(node, Fault.SOCKET, selectError(SOCKET_ERRORS, fault), fault);
+      case CONNECT_FAILS ->
+          failCalls(node, Fault.CONNECT, selectError(CONNECT_ERRORS, fault), fault);
       case READS_INTERRUPTED -> {
         failCalls(node, Fault.READ, Errno.EINTR, fault);
         failCalls(node, Fault.EPOLL_WAIT, Errno.EINTR, fault);
@@ -107,8 +109,8 @@
     return MIN_CALL_INTERVAL + fault.selector() % CALL_INTERVALS;
   }
 
-  private static Errno error(List<Errno> errors, ScheduledFault fault) {
-    // Divided first, so that each error occurs with each interval.
+  private static Errno selectError(List<Errno> errors, ScheduledFault fault) {
+    // The remainder of this division selects the interval, so each error occurs with each interval.
     return errors.get(fault.selector() / CALL_INTERVALS % errors.size());
   }
 
@@ -157,7 +159,7 @@
         node.name(), upstream.server().id(), fault.selector(), fault.durationMillis());
   }
 
-  /** Makes discovery unresponsive for a while, unless it is. Called by any thread. */
+  /** Makes discovery unresponsive for a time, unless it already is. Called by any thread. */
   synchronized void interruptDiscovery(long durationMillis) {
     if (discoveryOutageStartNanos != 0) {
       return;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * What may happen in a soak test. The names are values of the command line; their order is part of
- * what a seed determines.
+ * The kinds of fault that a soak test injects. The names are option values of the command line. The
+ * order must stay, since it determines which faults a seed draws.
  */
 enum FaultKind {
   /** A node's accepts fail. */
   ACCEPT_FAILS,
   /** A node cannot create sockets. */
   SOCKET_FAILS,
-  /** A node's connects fail by the node's own fault. */
+  /** A node's connects fail locally, although the peer accepts connections. */
   CONNECT_FAILS,
   /** A node's reads and waits for events are interrupted by signals. */
   READS_INTERRUPTED,
-  /** A node's reads and writes move only some bytes. */
+  /** A node's reads and writes transfer only some of the bytes. */
   SHORT_CALLS,
   /** A node's wall clock steps by up to an hour. */
   CLOCK_STEPS,
@@ -38,11 +38,11 @@
   SERVER_CUTS_SHORT,
   /** An upstream server responds without a content length. */
   SERVER_GIVES_NO_LENGTH,
-  /** An upstream server resets all its connections at once. */
+  /** An upstream server resets all its connections at the same time. */
   SERVER_DROPS_CONNECTIONS,
-  /** An upstream server begins to drain and another one starts. */
+  /** An upstream server starts to drain and another one starts. */
   SERVER_REPLACED,
-  /** The network in front of an upstream server is a black hole. */
+  /** The network in front of an upstream server forwards nothing and notifies neither side. */
   LINK_SILENT,
   /** The network in front of an upstream server fragments what it forwards. */
   LINK_IN_PIECES,
@@ -56,10 +56,13 @@
   COUNTER_SILENT,
   /** The quota counter's connections are reset. */
   COUNTER_RESET,
-  /** Two thirds of the upstream servers begin to drain at once and others start. */
+  /** Two thirds of the upstream servers start to drain at the same time, and others start. */
   MOST_SERVERS_REPLACED;
 
-  /** The kinds that are drawn where no others are named; a new kind would change their draws. */
+  /**
+   * Returns the kinds that are drawn unless the command line names others. A further kind would
+   * change the draws of each seed.
+   */
   static List<FaultKind> defaultKinds() {
     List<FaultKind> kinds = new ArrayList<>(List.of(values()));
     kinds.remove(MOST_SERVERS_REPLACED);
--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultLog.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultLog.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** The faults of a run with their times, in memory and in a file. Any thread may call. */
+/** Records the faults of a run with their times, in memory and in a file. Thread-safe. */
 final class FaultLog {
   private static final String FILE_NAME = "faults.log";
 
@@ -21,19 +21,19 @@
   private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Integer> countsByKind = Collections.synchronizedMap(new TreeMap<>());
 
-  /** Creates a log in a folder; its times count from now. */
+  /** Creates a log in a folder, whose times are measured from now. */
   FaultLog(Path folder) {
     file = folder.resolve(FILE_NAME);
   }
 
-  /** Records that a fault begins. */
-  void begins(Enum<?> kind, String details) {
+  /** Records the start of a fault. */
+  void recordStart(Enum<?> kind, String details) {
     countsByKind.merge(kind.name(), 1, Integer::sum);
-    add(kind + " " + details);
+    recordStep(kind + " " + details);
   }
 
-  /** Records a step of a fault that has begun. */
-  void add(String text) {
+  /** Records a later step of a fault that has started. */
+  void recordStep(String text) {
     String line = millisSinceStart(System.nanoTime()) + " ms: " + text;
     lines.add(line);
     try {
@@ -43,17 +43,17 @@
     }
   }
 
-  /** A moment of {@link System#nanoTime} in milliseconds since the log's start. */
-  long millisSinceStart(long momentNanos) {
-    return TimeUnit.NANOSECONDS.toMillis(momentNanos - startedAtNanos);
+  /** Converts a {@link System#nanoTime} value to milliseconds since the log's start. */
+  long millisSinceStart(long timeNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(timeNanos - startedAtNanos);
   }
 
-  /** All lines so far. */
+  /** Returns all lines so far. */
   List<String> lines() {
     return List.copyOf(lines);
   }
 
-  /** How many faults of each kind have begun. */
+  /** Returns the number of faults of each kind that have started. */
   Map<String, Integer> countsByKind() {
     return new TreeMap<>(countsByKind);
   }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultSchedule.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultSchedule.java
@@ -13,13 +13,13 @@
   private final SplittableRandom random;
   private final List<FaultKind> kinds;
 
-  /** Creates a schedule of the given kinds of fault. */
+  /** Creates a schedule that draws from the given kinds of fault. */
   FaultSchedule(long seed, List<FaultKind> kinds) {
     random = new SplittableRandom(seed);
     this.kinds = kinds;
   }
 
-  /** The next fault. */
+  /** Draws the next fault. */
   ScheduledFault next() {
     return new ScheduledFault(
         kinds.get(random.nextInt(kinds.size())),
--- a/emulator/src/main/java/merlinrouter/emulator/soak/Crowd.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/IdleClients.java
@@ -6,8 +6,8 @@
 import java.util.ArrayDeque;
 import merlinrouter.emulator.peer.BackgroundThreads;
 
-/** Idle clients of one node, which connect and send nothing. */
-final class Crowd implements AutoCloseable {
+/** Clients of one node that connect and send nothing, and so use up its file descriptors. */
+final class IdleClients implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
   private static final long PAUSE_MILLIS = 10;
 
@@ -15,25 +15,25 @@
   private static final int CONNECTIONS_PER_STEP = 25;
 
   private final int port;
-  private final int size;
+  private final int maxConnections;
   private final ArrayDeque<Socket> connections = new ArrayDeque<>();
   private volatile boolean closed;
   private Thread thread;
 
   /**
-   * Creates a crowd that has not come yet.
+   * Creates clients that have not connected.
    *
    * @param port the node's loopback port
-   * @param size how many connections it holds at most, older ones ending first
+   * @param maxConnections the maximum number of open connections, beyond which the oldest is closed
    */
-  Crowd(int port, int size) {
+  IdleClients(int port, int maxConnections) {
     this.port = port;
-    this.size = size;
+    this.maxConnections = maxConnections;
   }
 
-  /** Begins to connect; goes on until it is closed. */
+  /** Starts to open connections, until {@link #close}. */
   void start() {
-    thread = BackgroundThreads.start("crowd", this::run);
+    thread = BackgroundThreads.start("idle clients", this::run);
   }
 
   private void run() throws InterruptedException {
@@ -56,7 +56,7 @@
     } catch (IOException e) {
       closeQuietly(socket);
     }
-    if (connections.size() > size) {
+    if (connections.size() > maxConnections) {
       closeQuietly(connections.poll());
     }
   }
@@ -65,11 +65,11 @@
     try {
       socket.close();
     } catch (IOException ignored) {
-      // The node has reset it.
+      // The node has reset the connection.
     }
   }
 
-  /** Closes all connections and waits for that. */
+  /** Closes all connections and waits until they are closed. */
   @Override
   public void close() {
     closed = true;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/LateSpans.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/LateSpans.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Spans in which a thread was due to run and did not. Any thread may call. */
+/** Time spans in which a thread was due to run but did not run. Thread-safe. */
 final class LateSpans {
   private record Span(long dueNanos, long ranNanos) {
     long overlapNanos(long fromNanos, long toNanos) {
@@ -13,12 +13,12 @@
 
   private final List<Span> spans = new CopyOnWriteArrayList<>();
 
-  /** Records that a thread that was due at one moment ran at another. */
+  /** Records that a thread that was due at {@code dueNanos} did not run until {@code ranNanos}. */
   void add(long dueNanos, long ranNanos) {
     spans.add(new Span(dueNanos, ranNanos));
   }
 
-  /** The longest time for which one span overlaps with the time between two moments. */
+  /** Returns the longest overlap of a single span with the time between two points in time. */
   long longestNanos(long fromNanos, long toNanos) {
     return spans.stream().mapToLong(span -> span.overlapNanos(fromNanos, toNanos)).max().orElse(0);
   }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/LatenessMonitor.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/LatenessMonitor.java
@@ -8,26 +8,27 @@
 
 /**
  * Measures how late the emulator's own threads run, for each observer of requests: an upstream
- * server, or the clients of a node. A time that an observer took while its threads were late is too
- * late by as much. Each observer has a thread that waits as its others do; that the kernel had data
- * for a thread before it ran cannot be seen from here.
+ * server, or the clients of a node. A time that a late thread measures is too late by its lateness.
+ * For each observer a probe thread sleeps repeatedly and measures by how much each sleep exceeds
+ * its duration. It cannot measure how long received data waited in the kernel until another thread
+ * ran.
  */
 final class LatenessMonitor {
   private static final long PROBE_INTERVAL_MILLIS = 5;
 
-  /** Less is a timer's usual lateness. */
+  /** Up to this, lateness is usual for a timer and is not recorded. */
   private static final long MIN_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private final Map<String, LateSpans> lateSpansByObserver = new ConcurrentHashMap<>();
 
-  /** Begins to measure an observer. */
-  void watch(String observer) {
-    LateSpans lateSpans = of(observer);
+  /** Starts to measure the lateness of an observer. */
+  void monitor(String observer) {
+    LateSpans lateSpans = lateSpans(observer);
     BackgroundThreads.start("lateness of " + observer, () -> probe(lateSpans));
   }
 
-  /** The late spans of an observer. */
-  LateSpans of(String observer) {
+  /** Returns the late spans of an observer. */
+  LateSpans lateSpans(String observer) {
     return lateSpansByObserver.computeIfAbsent(observer, name -> new LateSpans());
   }
 
@@ -43,18 +44,18 @@
   }
 
   /**
-   * How late the observer of a violation was while it observed the request, at most.
+   * Returns the greatest lateness of a violation's observer while it observed the request.
    *
    * @param sentAtNanos when the request was sent
    * @param observedAtNanos when the last observation of it was made
    */
   long latenessNanos(Violation violation, long sentAtNanos, long observedAtNanos) {
-    return of(violation.observer()).longestNanos(sentAtNanos, observedAtNanos);
+    return lateSpans(violation.observer()).longestNanos(sentAtNanos, observedAtNanos);
   }
 
   /**
-   * Whether a violation may be the observer's own lateness: it is shown by a time alone, which
-   * exceeds its limit by no more than the observer was late meanwhile.
+   * Returns whether the observer's own lateness may account for a violation: only a time shows the
+   * violation, and it exceeds its limit by no more than the observer was late meanwhile.
    */
   boolean mayExplain(Violation violation, long sentAtNanos, long observedAtNanos) {
     return violation.isTimed()
--- a/emulator/src/main/java/merlinrouter/emulator/soak/NodeFault.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/NodeFault.java
@@ -1,10 +1,11 @@
 package merlinrouter.emulator.soak;
 
 /**
- * A node process that ended or started wrongly, or reported a violated invariant.
+ * A failure of a node process: in its start, in its shutdown, or a logged violation of an
+ * invariant.
  *
  * @param nodeName the node
- * @param description what it did
+ * @param description what was observed
  */
 record NodeFault(String nodeName, String description) {
   @Override
--- a/emulator/src/main/java/merlinrouter/emulator/soak/NodeRestarter.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/NodeRestarter.java
@@ -12,11 +12,12 @@
 import merlinrouter.emulator.invariant.InvariantChecker;
 import merlinrouter.emulator.peer.BackgroundThreads;
 
-/** Restarts nodes, as planned or after a kill, and records what goes wrong. */
+/** Restarts nodes gracefully or by a kill, and records the faults of their processes. */
 final class NodeRestarter {
-  private static final Duration MAX_START = Duration.ofSeconds(10);
+  /** Limit on the time from a start to readiness, and from a kill to the end of the process. */
+  private static final Duration PROCESS_TIMEOUT = Duration.ofSeconds(10);
 
-  /** No SIGHUP comes before a node is ready, nor for this long after it is. */
+  /** No SIGHUP is sent before a node is ready, nor for this long afterwards. */
   private static final long RELOAD_DELAY_MILLIS = 1_000;
 
   /** How long the load balancer still opens connections after the SIGTERM of a plain restart. */
@@ -37,8 +38,8 @@
    * Creates a restarter.
    *
    * @param checker is notified of kills
-   * @param settings tell how long after SIGTERM a process that has not ended is killed
-   * @param nodeFaults where faults are added, by any thread
+   * @param settings provides the delay between SIGTERM and the kill of a process that still runs
+   * @param nodeFaults the list to which faults are added, by any thread
    */
   NodeRestarter(
       Fleet fleet,
@@ -55,17 +56,17 @@
     this.nodeFaults = nodeFaults;
   }
 
-  /** Begins a planned restart, unless a restart of this node is in progress. */
+  /** Starts a planned restart, unless a restart of this node is in progress. */
   boolean restart(Fleet.Node node) throws IOException, InterruptedException {
     return restart(node, SignalSeries.termination(), LOAD_BALANCER_DELAY_MILLIS);
   }
 
   /**
-   * Begins a planned restart, unless a restart of this node is in progress.
+   * Starts a planned restart, unless a restart of this node is in progress.
    *
-   * @param signals a series that holds a SIGTERM
+   * @param signals a series that contains a SIGTERM
    * @param loadBalancerDelayMillis how long new connections are still opened
-   * @return whether it has begun
+   * @return whether the restart was started
    */
   boolean restart(Fleet.Node node, SignalSeries signals, long loadBalancerDelayMillis)
       throws IOException, InterruptedException {
@@ -73,7 +74,7 @@
       return false;
     }
     NodeTraffic traffic = trafficByNodeName.get(node.name());
-    // A paused process would not see the SIGTERM.
+    // A paused process would not handle the SIGTERM.
     node.process().signal(Signal.CONT);
     boolean starting = startingNodeNames.contains(node.name());
     SignalSeries allowedSignals = starting ? signals.withoutReloads() : signals;
@@ -91,7 +92,8 @@
   }
 
   /**
-   * Kills a node and begins to start it again, unless a restart of this node is in progress.
+   * Kills a node and starts it again in the background, unless a restart of this node is in
+   * progress.
    *
    * @return whether it was killed
    */
@@ -106,7 +108,7 @@
     BackgroundThreads.start(
         "restart of " + node.name(),
         () -> {
-          node.process().awaitExit(MAX_START);
+          node.process().awaitExit(PROCESS_TIMEOUT);
           checker.nodeKilled(node.name(), killedAtNanos, System.nanoTime());
           startAgain(node);
         });
@@ -115,16 +117,16 @@
 
   private void awaitShutdown(String nodeName, NodeProcess process, long killAtNanos)
       throws InterruptedException {
-    Duration left = Duration.ofNanos(Math.max(0, killAtNanos - System.nanoTime()));
-    if (!process.awaitExit(left)) {
+    Duration remaining = Duration.ofNanos(Math.max(0, killAtNanos - System.nanoTime()));
+    if (!process.awaitExit(remaining)) {
       if (!settings.hard()) {
         long millis = settings.killDelay().toMillis();
-        nodeFaults.add(new NodeFault(nodeName, "has not ended " + millis + " ms after SIGTERM"));
+        nodeFaults.add(new NodeFault(nodeName, "is still running " + millis + " ms after SIGTERM"));
       }
       process.close();
-      process.awaitExit(MAX_START);
+      process.awaitExit(PROCESS_TIMEOUT);
     } else if (process.exitStatus() != 0) {
-      nodeFaults.add(new NodeFault(nodeName, "ended with status " + process.exitStatus()));
+      nodeFaults.add(new NodeFault(nodeName, "exited with status " + process.exitStatus()));
     }
   }
 
@@ -139,7 +141,7 @@
     startingNodeNames.add(node.name());
     try {
       fleet.startAgain(node);
-      if (!node.process().awaitReady(MAX_START)) {
+      if (!node.process().awaitReady(PROCESS_TIMEOUT)) {
         nodeFaults.add(new NodeFault(node.name(), describeFailedStart(node.process())));
       }
     } catch (IOException e) {
@@ -152,7 +154,7 @@
 
   private static String describeFailedStart(NodeProcess process) {
     return process.isAlive()
-        ? "is not ready " + MAX_START.toSeconds() + " s after its start"
-        : "ended with status " + process.exitStatus() + " during its start";
+        ? "is not ready " + PROCESS_TIMEOUT.toSeconds() + " s after its start"
+        : "exited with status " + process.exitStatus() + " during its start";
   }
 }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/NodeTraffic.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/NodeTraffic.java
@@ -15,7 +15,7 @@
 final class NodeTraffic {
   private static final int CLIENTS = 3;
   private static final long MAX_PAUSE_MILLIS = 120;
-  private static final long MAX_STAY_MILLIS = 150;
+  private static final long MAX_TIME_TO_DISCONNECT_MILLIS = 150;
   private static final long MAX_SEND_PAUSE_MILLIS = 200;
 
   // An idle client waits about as long as a node keeps an idle connection, so that the node's close
@@ -23,7 +23,8 @@
   private static final long MIN_IDLE_MILLIS = 1_900;
   private static final long MAX_IDLE_MILLIS = 2_300;
 
-  // Each request draws one of 100; the ranges end before these numbers.
+  // Each request draws a number below 100, whose range determines how the request is sent. Ends of
+  // ranges are exclusive.
   private static final int DRAWS = 100;
   private static final int INCOMPLETE_END = 1;
   private static final int AFTER_IDLE_END = 2;
@@ -53,14 +54,14 @@
   }
 
   /**
-   * Sets whether clients may open connections. A load balancer in front of the nodes opens none
-   * from shortly after a node's SIGTERM until its next start.
+   * Sets whether clients may open connections. The emulated load balancer in front of the nodes
+   * opens no connections to a node from shortly after its SIGTERM until its next start.
    */
   void setNewConnectionsAllowed(boolean newConnectionsAllowed) {
     this.newConnectionsAllowed = newConnectionsAllowed;
   }
 
-  /** Ends the traffic and waits for the requests in flight. */
+  /** Stops the clients and waits until their requests in flight have ended. */
   void stop() throws InterruptedException {
     stopped = true;
     for (Thread thread : threads) {
@@ -93,7 +94,7 @@
       Thread.sleep(random.nextLong(MIN_IDLE_MILLIS, MAX_IDLE_MILLIS));
       client.exchange(request);
     } else if (draw < ABANDONED_END) {
-      client.sendAndDisconnect(request, random.nextLong(MAX_STAY_MILLIS));
+      client.sendAndDisconnect(request, random.nextLong(MAX_TIME_TO_DISCONNECT_MILLIS));
     } else if (draw < SENT_SLOWLY_END) {
       client.sendInTwoParts(request, random.nextLong(MAX_SEND_PAUSE_MILLIS));
       client.receive(request);
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
@@ -9,14 +9,14 @@
 import merlinrouter.emulator.peer.BackgroundThreads;
 
 /**
- * Injects the faults of whole processes that a hard soak test adds, on a thread of its own. They
- * are drawn from a random source of their own, so that the other faults of a seed stay the same.
+ * Injects the faults of whole processes that a hard soak test adds, on a separate thread. They are
+ * drawn from a separate random source, so that the other faults of a seed stay the same.
  */
 final class ProcessFaultInjector {
   private static final long MIN_PAUSE_MILLIS = 200;
   private static final long MAX_PAUSE_MILLIS = 1_500;
 
-  /** New connections come for this long after SIGTERM. */
+  /** Clients open new connections at least this long after SIGTERM. */
   private static final long MIN_LOAD_BALANCER_DELAY_MILLIS = 200;
 
   private static final long MAX_LOAD_BALANCER_DELAY_MILLIS = 400;
@@ -29,15 +29,17 @@
   private static final int MAX_NEIGHBORS = 4;
   private static final long MAX_NEIGHBOR_GAP_MILLIS = 800;
 
-  /** Time before an outage of discovery and after it in which the crowd is there. */
-  private static final long CROWD_MARGIN_MILLIS = 400;
+  /**
+   * Idle clients connect this long before an outage of discovery and disconnect this long after.
+   */
+  private static final long IDLE_CLIENT_MARGIN_MILLIS = 400;
 
   private static final long MIN_OUTAGE_MILLIS = 500;
   private static final long MAX_OUTAGE_MILLIS = 2_500;
 
   private final Fleet fleet;
   private final InvariantChecker checker;
-  private final FaultInjector otherFaults;
+  private final FaultInjector faultInjector;
   private final NodeRestarter restarter;
   private final FaultLog log;
   private final SplittableRandom random;
@@ -48,33 +50,33 @@
   /**
    * Creates an injector that does nothing yet.
    *
-   * @param checker is notified of crowds
-   * @param otherFaults interrupts discovery
+   * @param checker is notified of idle clients
+   * @param faultInjector interrupts discovery
    * @param kinds the kinds of fault to draw from
    */
   ProcessFaultInjector(
       Fleet fleet,
       InvariantChecker checker,
-      FaultInjector otherFaults,
+      FaultInjector faultInjector,
       NodeRestarter restarter,
       FaultLog log,
       SplittableRandom random,
       List<ProcessFaultKind> kinds) {
     this.fleet = fleet;
     this.checker = checker;
-    this.otherFaults = otherFaults;
+    this.faultInjector = faultInjector;
     this.restarter = restarter;
     this.log = log;
     this.random = random;
     this.kinds = kinds;
   }
 
-  /** Begins to inject faults. */
+  /** Starts to inject faults. */
   void start() {
     thread = BackgroundThreads.start("process faults", this::run);
   }
 
-  /** Injects no further fault and waits for the one in progress. */
+  /** Stops the injection of faults and waits for the fault in progress. */
   void stop() throws InterruptedException {
     stopped = true;
     if (thread != null) {
@@ -90,76 +92,79 @@
     }
   }
 
-  /** Injects one fault; what it draws does not change what later ones draw. */
-  private void inject(ProcessFaultKind kind, int nodeNumber, SplittableRandom draws)
+  /** Injects one fault. The number of its draws does not change the draws of later faults. */
+  private void inject(ProcessFaultKind kind, int nodeNumber, SplittableRandom faultRandom)
       throws IOException, InterruptedException {
     Fleet.Node node = fleet.nodes().get(nodeNumber);
     switch (kind) {
-      case TERMINATED_BY_SERIES -> terminate(kind, node, draws);
-      case RELOADED_BY_SERIES -> reload(node, draws);
+      case TERMINATED_BY_SERIES -> terminate(kind, node, faultRandom);
+      case RELOADED_BY_SERIES -> reload(node, faultRandom);
       case KILLED -> {
-        log.begins(kind, node.name() + (restarter.kill(node) ? "" : " (is starting already)"));
+        log.recordStart(
+            kind, node.name() + (restarter.kill(node) ? "" : " (skipped, restart in progress)"));
       }
-      case NEIGHBORS_RESTARTED -> restartNeighbors(nodeNumber, draws);
-      case CROWDED -> crowd(node, draws);
+      case NEIGHBORS_RESTARTED -> restartNeighbors(nodeNumber, faultRandom);
+      case CROWDED -> connectIdleClients(node, faultRandom);
       default -> throw new IllegalStateException("unknown fault " + kind);
     }
   }
 
-  private void terminate(ProcessFaultKind kind, Fleet.Node node, SplittableRandom draws)
+  private void terminate(ProcessFaultKind kind, Fleet.Node node, SplittableRandom faultRandom)
       throws IOException, InterruptedException {
-    SignalSeries signals = SignalSeries.drawTermination(draws);
+    SignalSeries signals = SignalSeries.drawTermination(faultRandom);
     long loadBalancerDelayMillis =
-        draws.nextLong(MIN_LOAD_BALANCER_DELAY_MILLIS, MAX_LOAD_BALANCER_DELAY_MILLIS);
-    boolean begun = restarter.restart(node, signals, loadBalancerDelayMillis);
-    String details = begun ? signals.toString() : "(is restarting already)";
-    log.begins(kind, node.name() + " " + details);
+        faultRandom.nextLong(MIN_LOAD_BALANCER_DELAY_MILLIS, MAX_LOAD_BALANCER_DELAY_MILLIS);
+    boolean started = restarter.restart(node, signals, loadBalancerDelayMillis);
+    String details = started ? signals.toString() : "(skipped, restart in progress)";
+    log.recordStart(kind, node.name() + " " + details);
   }
 
-  private void reload(Fleet.Node node, SplittableRandom draws)
+  private void reload(Fleet.Node node, SplittableRandom faultRandom)
       throws IOException, InterruptedException {
-    int reloads = draws.nextInt(MIN_RELOADS, MAX_RELOADS + 1);
-    log.begins(ProcessFaultKind.RELOADED_BY_SERIES, node.name() + " " + reloads + " times");
+    int reloads = faultRandom.nextInt(MIN_RELOADS, MAX_RELOADS + 1);
+    log.recordStart(ProcessFaultKind.RELOADED_BY_SERIES, node.name() + " " + reloads + " times");
     List<String> addresses = List.of(fleet.discovery().address(), fleet.secondDiscoveryAddress());
     for (int i = 0; i < reloads; i++) {
-      fleet.configure(node, addresses.get(draws.nextInt(addresses.size())));
+      fleet.configure(node, addresses.get(faultRandom.nextInt(addresses.size())));
       restarter.reload(node);
-      Thread.sleep(draws.nextLong(MAX_RELOAD_GAP_MILLIS));
+      Thread.sleep(faultRandom.nextLong(MAX_RELOAD_GAP_MILLIS));
     }
   }
 
-  private void restartNeighbors(int firstNumber, SplittableRandom draws)
+  private void restartNeighbors(int firstNumber, SplittableRandom faultRandom)
       throws IOException, InterruptedException {
-    int count = Math.min(fleet.nodes().size(), draws.nextInt(MIN_NEIGHBORS, MAX_NEIGHBORS + 1));
+    int count =
+        Math.min(fleet.nodes().size(), faultRandom.nextInt(MIN_NEIGHBORS, MAX_NEIGHBORS + 1));
     for (int i = 0; i < count; i++) {
       Fleet.Node node = fleet.nodes().get((firstNumber + i) % fleet.nodes().size());
-      terminate(ProcessFaultKind.NEIGHBORS_RESTARTED, node, draws);
-      Thread.sleep(draws.nextLong(MAX_NEIGHBOR_GAP_MILLIS));
+      terminate(ProcessFaultKind.NEIGHBORS_RESTARTED, node, faultRandom);
+      Thread.sleep(faultRandom.nextLong(MAX_NEIGHBOR_GAP_MILLIS));
     }
   }
 
-  private void crowd(Fleet.Node node, SplittableRandom draws)
+  private void connectIdleClients(Fleet.Node node, SplittableRandom faultRandom)
       throws IOException, InterruptedException {
-    long outageMillis = draws.nextLong(MIN_OUTAGE_MILLIS, MAX_OUTAGE_MILLIS);
-    boolean shutDown = draws.nextBoolean();
-    log.begins(
+    long outageMillis = faultRandom.nextLong(MIN_OUTAGE_MILLIS, MAX_OUTAGE_MILLIS);
+    boolean shutDown = faultRandom.nextBoolean();
+    log.recordStart(
         ProcessFaultKind.CROWDED,
         node.name()
-            + (shutDown ? " and shut down" : "")
-            + ", discovery silent for "
+            + (shutDown ? " with a shutdown" : "")
+            + ", discovery unresponsive for "
             + outageMillis
             + " ms");
-    long cameAtNanos = System.nanoTime();
-    try (Crowd crowd = new Crowd(node.process().port(), NodeTemplate.maxSockets())) {
-      crowd.start();
-      Thread.sleep(CROWD_MARGIN_MILLIS);
-      otherFaults.interruptDiscovery(outageMillis);
+    long startNanos = System.nanoTime();
+    try (IdleClients idleClients =
+        new IdleClients(node.process().port(), NodeTemplate.maxSockets())) {
+      idleClients.start();
+      Thread.sleep(IDLE_CLIENT_MARGIN_MILLIS);
+      faultInjector.interruptDiscovery(outageMillis);
       if (shutDown) {
         restarter.restart(node);
       }
-      Thread.sleep(outageMillis + CROWD_MARGIN_MILLIS);
+      Thread.sleep(outageMillis + IDLE_CLIENT_MARGIN_MILLIS);
     }
-    checker.idleClientsConnected(node.name(), cameAtNanos, System.nanoTime());
-    log.add("the crowd at " + node.name() + " has left");
+    checker.idleClientsConnected(node.name(), startNanos, System.nanoTime());
+    log.recordStep("idle clients of " + node.name() + " disconnected");
   }
 }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultKind.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultKind.java
@@ -1,21 +1,21 @@
 package merlinrouter.emulator.soak;
 
 /**
- * What may happen to whole node processes in a hard soak test. The order is part of what a seed
- * determines.
+ * The kinds of fault of whole node processes in a hard soak test. The order must stay, since it
+ * determines which faults a seed draws.
  */
 enum ProcessFaultKind {
-  /** A node gets a series of signals that begins its graceful shutdown, and starts again. */
+  /** A node receives a series of signals that starts its graceful shutdown, and starts again. */
   TERMINATED_BY_SERIES,
-  /** A node gets several SIGHUP within milliseconds, with its configuration changed in between. */
+  /** A node receives several SIGHUPs, milliseconds apart, with configuration changes in between. */
   RELOADED_BY_SERIES,
-  /** A node is killed and starts again from nothing. */
+  /** A node is killed by SIGKILL and starts again without the state of its process. */
   KILLED,
-  /** Some nodes shut down gracefully and start again, one soon after another. */
+  /** Several nodes shut down gracefully and start again, in quick succession. */
   NEIGHBORS_RESTARTED,
   /**
-   * Idle clients take a node's file descriptors before, during and after an outage of discovery;
-   * the node may be shut down meanwhile. Only in some runs.
+   * Idle clients use up a node's file descriptors before, during and after an outage of discovery;
+   * the node may be shut down meanwhile. Injected only for some seeds.
    */
   CROWDED
 }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ResponseMargins.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ResponseMargins.java
@@ -8,26 +8,27 @@
 import merlinrouter.emulator.request.ClientOutcome;
 import merlinrouter.emulator.request.RequestRecord;
 
-/** How much of the clients' time was left when complete responses had come. Immutable. */
+/** The times from complete responses to their clients' deadlines. Immutable. */
 final class ResponseMargins {
   private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
   /**
-   * A complete response and the client's time.
+   * A complete response and its margin.
    *
    * @param request the request
-   * @param sentMillis when it was sent, from the run's start
-   * @param marginNanos from the response's last byte to the client's deadline; negative after it
-   * @param emulatorLateNanos how late the emulator's clients of that node were meanwhile, at most
+   * @param sentMillis when the request was sent, in milliseconds since the run's start
+   * @param marginNanos the time from the response's last byte to the client's deadline; negative
+   *     after the deadline
+   * @param emulatorLateNanos the greatest lateness of the emulator's clients of that node meanwhile
    */
   record Response(
       RequestRecord request, long sentMillis, long marginNanos, long emulatorLateNanos) {
-    /** Whether it came after the client's deadline. */
+    /** Returns whether it was received after the client's deadline. */
     boolean isOverdue() {
       return marginNanos < 0;
     }
 
-    /** Whether it came so late that it counts as none. */
+    /** Returns whether it was received so late that it counts as missing. */
     boolean isLost() {
       return -marginNanos > InvariantChecker.MAX_LATE_RESPONSE_NANOS;
     }
@@ -53,9 +54,9 @@
   }
 
   /**
-   * The margins of the requests that were sent whole and got a response.
+   * Returns the margins of the requests that were sent completely and got a response.
    *
-   * @param millisSinceStart converts a moment of {@link System#nanoTime}
+   * @param millisSinceStart converts {@link System#nanoTime} to milliseconds since the run's start
    */
   static ResponseMargins of(
       List<RequestRecord> requests, LatenessMonitor lateness, LongUnaryOperator millisSinceStart) {
@@ -79,15 +80,15 @@
         request,
         sentMillis,
         deadlineNanos - endedAtNanos,
-        lateness.of(request.nodeName()).longestNanos(sentAtNanos, endedAtNanos));
+        lateness.lateSpans(request.nodeName()).longestNanos(sentAtNanos, endedAtNanos));
   }
 
-  /** How many responses there were. */
+  /** Returns the number of responses. */
   int count() {
     return byMargin.size();
   }
 
-  /** The margin that a part of the responses did not exceed, by nearest rank; 0 without any. */
+  /** Returns the quantile of the margins by the nearest-rank method, or 0 without responses. */
   long quantileNanos(double fraction) {
     if (byMargin.isEmpty()) {
       return 0;
@@ -96,12 +97,12 @@
     return byMargin.get(Math.max(1, rank) - 1).marginNanos();
   }
 
-  /** The responses after the client's deadline, the latest first. */
+  /** Returns the responses after their clients' deadlines, the one with the least margin first. */
   List<Response> overdue() {
     return byMargin.stream().takeWhile(Response::isOverdue).toList();
   }
 
-  /** How many responses came so late that they count as none. */
+  /** Returns the number of responses that were received so late that they count as missing. */
   long lostCount() {
     return byMargin.stream().takeWhile(Response::isLost).count();
   }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ScheduledFault.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ScheduledFault.java
@@ -3,9 +3,9 @@
 /**
  * A fault that a seed determines.
  *
- * @param kind what happens
- * @param selector picks the node or server and the fault's parameters; not negative
+ * @param kind the kind of fault
+ * @param selector selects the node or server and the fault's parameters; not negative
  * @param delayToNextMillis time until the next fault begins
- * @param durationMillis how long the fault lasts, where it lasts
+ * @param durationMillis how long the fault lasts; unused for kinds without a duration
  */
 record ScheduledFault(FaultKind kind, int selector, long delayToNextMillis, long durationMillis) {}
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SignalSeries.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SignalSeries.java
@@ -8,33 +8,34 @@
 import merlinrouter.emulator.fleet.NodeProcess.Signal;
 
 /**
- * Signals that a process gets one soon after another.
+ * Signals that are sent to a process in quick succession.
  *
- * @param steps the signals with the pauses before them
+ * @param steps the signals with the delays before them
  */
 record SignalSeries(List<Step> steps) {
   private static final int MAX_REPEATED_TERMINATIONS = 3;
   private static final long MAX_GAP_MILLIS = 100;
 
-  /** A node that is paused for no longer than this must keep all rules. */
+  /** A node that is paused for no longer than this must still satisfy all invariants. */
   private static final long MAX_PAUSE_MILLIS = 150;
 
   /**
    * One signal of a series.
    *
-   * @param delayMillis time since the signal before it
+   * @param delayMillis time since the previous signal
    * @param signal the signal
    */
   record Step(long delayMillis, Signal signal) {}
 
-  /** The one signal of a planned restart. */
+  /** Returns the series of a planned restart: one SIGTERM. */
   static SignalSeries termination() {
     return new SignalSeries(List.of(new Step(0, Signal.TERM)));
   }
 
   /**
-   * Draws a series that begins a graceful shutdown: two or more SIGTERM, perhaps a SIGHUP right
-   * before or after the first one, perhaps a pause of the process.
+   * Draws a series that starts a graceful shutdown: two or more SIGTERMs, an optional SIGHUP
+   * immediately before and another one after the first SIGTERM, and an optional pause of the
+   * process.
    */
   static SignalSeries drawTermination(SplittableRandom random) {
     List<Step> steps = new ArrayList<>();
@@ -56,12 +57,12 @@
     return new SignalSeries(steps);
   }
 
-  /** The series without SIGHUP, which a process may not be sent while it is starting. */
+  /** Returns the series without SIGHUP, which must not be sent to a process while it starts. */
   SignalSeries withoutReloads() {
     return new SignalSeries(steps.stream().filter(step -> step.signal() != Signal.HUP).toList());
   }
 
-  /** Sends the signals; returns behind the last one. */
+  /** Sends the signals and returns after the last one. */
   void send(NodeProcess process) throws IOException, InterruptedException {
     for (Step step : steps) {
       Thread.sleep(step.delayMillis());
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakCommand.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakCommand.java
@@ -22,15 +22,16 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The {@code soak} command: runs soak tests of several seeds, one after another. */
+/** The {@code soak} command, which runs soak tests of one or more seeds in sequence. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
     description = {
       "Runs real node processes under steady traffic, injects overlapping random faults and checks"
           + " every request against the service's invariants.",
-      "Exit status: 0 if no invariant was violated, 1 if one was, 2 for a bad command line, 3 if"
-          + " none was but the emulator itself was late for over 1 % of the requests of a seed."
+      "Exit status: 0 if all seeds passed, 1 if an invariant was violated, a node process failed or"
+          + " an attempt carried an unknown id, 2 for a bad command line, 3 if no seed failed but"
+          + " the emulator itself was late for over 1 % of the requests of a seed."
     })
 public final class SoakCommand implements Callable<Integer> {
   private static final int EXIT_PASSED = 0;
@@ -40,19 +41,19 @@
 
   @Option(
       names = "--root",
-      description = "The checkout with the built program (default: ${DEFAULT-VALUE}).")
+      description = "The checkout that contains the built program (default: ${DEFAULT-VALUE}).")
   private Path root = Path.of(".");
 
   @Option(
       names = "--seed",
       description =
-          "The first seed; it determines the faults and what clients send"
+          "The first seed. A seed determines the faults and what clients send"
               + " (default: ${DEFAULT-VALUE}).")
   private long firstSeed = 1;
 
   @Option(
       names = "--seeds",
-      description = "How many seeds to run, counting up (default: ${DEFAULT-VALUE}).")
+      description = "Number of consecutive seeds to run (default: ${DEFAULT-VALUE}).")
   private int seedCount = 1;
 
   @Option(names = "--nodes", description = "Number of node processes (default: ${DEFAULT-VALUE}).")
@@ -65,7 +66,7 @@
 
   @Option(
       names = "--seconds",
-      description = "How long faults are injected for each seed (default: ${DEFAULT-VALUE}).")
+      description = "Seconds of fault injection for each seed (default: ${DEFAULT-VALUE}).")
   private int durationSeconds = 30;
 
   @Option(
@@ -86,30 +87,33 @@
   @Option(
       names = "--also",
       split = ",",
-      description = "Inject these kinds of fault too, beside the default ones or those of --only.")
-  private List<FaultKind> furtherKinds = List.of();
+      description =
+          "Also inject these kinds of fault, in addition to the default ones or those of --only.")
+  private List<FaultKind> additionalKinds = List.of();
 
   @Option(
       names = "--timeouts-ms",
       split = ",",
       description =
-          "Half of the clients' requests wait for one of these numbers of milliseconds"
-              + " (default: none).")
+          "Fixed timeouts in milliseconds, one of which is drawn for about half of the clients'"
+              + " requests (default: none).")
   private List<Long> timeoutsMillis = List.of();
 
   @Option(
       names = "--hard",
       description = {
-        "Also inject faults of whole processes: series of signals, outright kills, restarts of"
-            + " neighbors and, where 3 divides the seed, crowds of idle clients. A node that has"
-            + " not ended by the longest deadline and 0.7 s after SIGTERM is killed."
+        "Also inject faults of whole processes: series of signals, kills, restarts of neighboring"
+            + " nodes and, if the seed is divisible by 3, idle clients that use up a node's file"
+            + " descriptors. A node that still runs 0.7 s after the longest deadline, counted from"
+            + " its SIGTERM, is killed."
       })
   private boolean hard;
 
   @Option(
       names = "--folder",
       description =
-          "Where the nodes' configuration and log files go (default: a new temporary folder).")
+          "The folder for the nodes' configuration and log files"
+              + " (default: a new temporary folder).")
   private Path folder;
 
   @Spec private CommandSpec command;
@@ -123,7 +127,7 @@
             upstreamCount,
             Duration.ofSeconds(durationSeconds),
             emulatorDelayMillis,
-            Stream.concat(kinds.stream(), furtherKinds.stream()).toList(),
+            Stream.concat(kinds.stream(), additionalKinds.stream()).toList(),
             new ClientTimeouts(timeoutsMillis),
             hard);
     Set<Verdict> verdicts = EnumSet.noneOf(Verdict.class);
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakResult.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakResult.java
@@ -5,17 +5,17 @@
 import merlinrouter.emulator.invariant.Violation;
 
 /**
- * What a soak test found.
+ * The result of a soak test.
  *
- * @param requestsByOutcome how many requests ended with each outcome and status
+ * @param requestsByOutcome the number of requests by outcome and status
  * @param violations invariants that the nodes violated
  * @param inconclusive violations that the measured lateness of the emulator may account for
- * @param inconclusiveRequests how many requests have such a violation
- * @param nodeFaults processes that behaved wrongly
- * @param unknownAttempts how many attempts carried an id that no client sent
- * @param faultsByKind how many faults of each kind were injected
+ * @param inconclusiveRequests the number of requests with an inconclusive violation
+ * @param nodeFaults the failures of node processes
+ * @param unknownAttempts the number of attempts that carried an id that no client sent
+ * @param faultsByKind the number of injected faults by kind
  * @param faultLines the faults with their times, as in the run's {@code faults.log}
- * @param margins the clients' time left at the responses
+ * @param margins the times from responses to their clients' deadlines
  */
 record SoakResult(
     Map<String, Integer> requestsByOutcome,
@@ -28,18 +28,18 @@
     List<String> faultLines,
     ResponseMargins margins) {
 
-  /** Above this part of the requests a run says nothing. */
+  /** A run with a greater fraction of inconclusive requests has no verdict. */
   private static final double MAX_INCONCLUSIVE_FRACTION = 0.01;
 
-  /** What a run says of the nodes. */
+  /** The verdict of a run on the nodes. */
   enum Verdict {
     PASSED,
     FAILED,
-    /** Nothing speaks against the nodes, but the emulator was late too often to tell. */
+    /** No fault of the nodes was found, but the emulator was late too often for a verdict. */
     NONE
   }
 
-  /** What the run says of the nodes. */
+  /** Returns the verdict of the run. */
   Verdict verdict() {
     if (!violations.isEmpty() || !nodeFaults.isEmpty() || unknownAttempts != 0) {
       return Verdict.FAILED;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakRun.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakRun.java
@@ -16,12 +16,12 @@
 import merlinrouter.emulator.request.Attempt;
 import merlinrouter.emulator.request.RequestRecord;
 
-/** One soak test: overlapping random faults over real node processes with steady traffic. */
+/** One soak test: overlapping random faults in real node processes under steady traffic. */
 final class SoakRun implements AutoCloseable {
-  /** Start of the line by which a node reports that it would have violated an invariant. */
+  /** Start of the log line by which a node reports that it would have violated an invariant. */
   private static final String VIOLATION_LOG_PREFIX = "invariant violated";
 
-  /** Makes the process faults of a seed independent of its clients' choices. */
+  /** Makes the process faults of a seed independent of its clients' random choices. */
   private static final long PROCESS_FAULT_SEED_OFFSET = 0x5eed_0000_0000L;
 
   private final Fleet fleet;
@@ -38,8 +38,8 @@
    * Prepares a run.
    *
    * @param root the checkout with the built program
-   * @param folder where configuration and log files go; created if it does not exist
-   * @param seed determines the faults and the clients' choices
+   * @param folder the folder for configuration and log files; created if it does not exist
+   * @param seed determines the faults and the clients' random choices
    */
   SoakRun(Path root, Path folder, long seed, SoakSettings settings) throws IOException {
     fleet = new Fleet(root, folder);
@@ -49,7 +49,7 @@
     this.settings = settings;
   }
 
-  /** Injects faults for a time and checks all requests. */
+  /** Injects faults for the configured duration and checks all requests. */
   SoakResult run() throws IOException, InterruptedException {
     SoakUpstreams upstreams = new SoakUpstreams(fleet, checker, lateness, settings.upstreamCount());
     try {
@@ -69,7 +69,7 @@
   private void startTraffic() {
     SplittableRandom random = new SplittableRandom(seed);
     for (Fleet.Node node : fleet.nodes()) {
-      lateness.watch(node.name());
+      lateness.monitor(node.name());
       trafficByNodeName.put(
           node.name(),
           new NodeTraffic(node, fleet.requests(), settings.clientTimeouts(), random.split()));
@@ -111,14 +111,14 @@
     int inconclusiveRequests = 0;
     for (RequestRecord request : fleet.requests().requests()) {
       requestsByOutcome.merge(outcome(request), 1, Integer::sum);
-      boolean unclear = false;
+      boolean requestInconclusive = false;
       for (Violation violation : checker.check(request)) {
         boolean explained =
             lateness.mayExplain(violation, request.sentAtNanos(), lastObservationNanos(request));
-        (explained ? inconclusive : violations).add(withTimes(violation, request));
-        unclear |= explained;
+        (explained ? inconclusive : violations).add(addTimes(violation, request));
+        requestInconclusive |= explained;
       }
-      inconclusiveRequests += unclear ? 1 : 0;
+      inconclusiveRequests += requestInconclusive ? 1 : 0;
     }
     for (Fleet.Node node : fleet.nodes()) {
       addReportedViolations(node);
@@ -135,7 +135,7 @@
         ResponseMargins.of(fleet.requests().requests(), lateness, faultLog::millisSinceStart));
   }
 
-  private Violation withTimes(Violation violation, RequestRecord request) {
+  private Violation addTimes(Violation violation, RequestRecord request) {
     long sentMillis = faultLog.millisSinceStart(request.sentAtNanos());
     if (!violation.isTimed()) {
       return violation.withEvidencePrefix("sent at " + sentMillis + " ms, ");
@@ -144,7 +144,7 @@
         lateness.latenessNanos(violation, request.sentAtNanos(), lastObservationNanos(request));
     return violation.withEvidencePrefix(
         String.format(
-            "sent at %d ms, %d ms over the limit by the time of %s, which was late by %d ms, ",
+            "sent at %d ms, %d ms over the limit as measured by %s, which was up to %d ms late, ",
             sentMillis,
             TimeUnit.NANOSECONDS.toMillis(violation.excessNanos()),
             violation.observer(),
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakSettings.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakSettings.java
@@ -5,16 +5,17 @@
 import merlinrouter.emulator.fleet.NodeTemplate;
 
 /**
- * What a soak test plays.
+ * The settings of a soak test.
  *
  * @param nodeCount number of node processes
  * @param upstreamCount number of upstream servers
  * @param duration how long faults are injected
  * @param emulatorDelayMillis allowance for delays of the emulator's own threads
  * @param kinds the kinds of fault that are injected
- * @param clientTimeouts draws how long clients wait
- * @param hard whether the faults of whole processes are injected too, and nodes are killed as soon
- *     as they may be: it is no fault of a node to run until then, but to owe a response is
+ * @param clientTimeouts draws the timeouts of clients' requests
+ * @param hard whether faults of whole processes are injected too and a node that shuts down is
+ *     killed at the earliest permitted time. A process that still runs then is not a node fault,
+ *     but a request without a response violates an invariant.
  */
 record SoakSettings(
     int nodeCount,
@@ -24,29 +25,29 @@
     List<FaultKind> kinds,
     ClientTimeouts clientTimeouts,
     boolean hard) {
-  /** A node is killed after the longest deadline and this, at the earliest. */
+  /** Time from the longest deadline after SIGTERM until a node may be killed. */
   private static final Duration KILL_MARGIN = Duration.ofMillis(700);
 
-  /** The longest deadline counts as this where it is longer. */
+  /** Longest deadline assumed for the kill, unless a hard run's configured one is shorter. */
   private static final Duration MAX_LONGEST_DEADLINE = Duration.ofSeconds(3);
 
-  /** In one of so many runs, by seed, idle clients take the descriptors of nodes. */
-  private static final int CROWD_INTERVAL = 3;
+  /** Idle clients use up descriptors of nodes only if the seed is divisible by this. */
+  private static final int IDLE_CLIENTS_SEED_DIVISOR = 3;
 
-  /** How long after SIGTERM a process that has not ended is killed. */
+  /** Returns how long after SIGTERM a process that still runs is killed. */
   Duration killDelay() {
     Duration configured = NodeTemplate.longestDeadline();
     boolean isShorter = configured.compareTo(MAX_LONGEST_DEADLINE) < 0;
     return (hard && isShorter ? configured : MAX_LONGEST_DEADLINE).plus(KILL_MARGIN);
   }
 
-  /** The kinds of faults of whole processes that a seed plays. */
+  /** Returns the kinds of fault of whole processes that are injected for a seed. */
   List<ProcessFaultKind> processFaultKinds(long seed) {
     if (!hard) {
       return List.of();
     }
     return List.of(ProcessFaultKind.values()).stream()
-        .filter(kind -> kind != ProcessFaultKind.CROWDED || seed % CROWD_INTERVAL == 0)
+        .filter(kind -> kind != ProcessFaultKind.CROWDED || seed % IDLE_CLIENTS_SEED_DIVISOR == 0)
         .toList();
   }
 }
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakUpstreams.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakUpstreams.java
@@ -11,7 +11,7 @@
 import merlinrouter.emulator.peer.UpstreamServer.Behavior;
 import merlinrouter.emulator.peer.UpstreamServer.Reaction;
 
-/** The upstream servers that take requests in a soak test. Used by one thread. */
+/** The upstream servers of a soak test that are not draining. Used by one thread. */
 final class SoakUpstreams {
   private static final long RESPONSE_DELAY_MILLIS = 15;
   private static final long STARTED_LONG_AGO = 0;
@@ -20,7 +20,7 @@
    * An upstream server whose behavior can be changed by any thread.
    *
    * @param server the server
-   * @param behavior what it does with requests
+   * @param behavior how it treats requests
    */
   record Upstream(UpstreamServer server, AtomicReference<Behavior> behavior) {}
 
@@ -29,7 +29,7 @@
   private final LatenessMonitor lateness;
   private final List<Upstream> ready = new ArrayList<>();
 
-  /** Starts upstream servers that are published as started long ago. */
+  /** Starts upstream servers and publishes that they were started long ago. */
   SoakUpstreams(Fleet fleet, InvariantChecker checker, LatenessMonitor lateness, int count)
       throws IOException {
     this.fleet = fleet;
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Has two thirds of the servers drain and starts as many. */
+  /** Drains two thirds of the servers and starts as many new ones. */
   void replaceMost() throws IOException {
     int replacedCount = ready.size() * 2 / 3;
     for (Upstream old : List.copyOf(ready.subList(0, replacedCount))) {
@@ -53,16 +53,16 @@
     UpstreamServer server =
         fleet.addUpstream(
             requestId -> new Reaction(behavior.get(), RESPONSE_DELAY_MILLIS), startedAtUnixMillis);
-    lateness.watch(server.id());
+    lateness.monitor(server.id());
     ready.add(new Upstream(server, behavior));
   }
 
-  /** One of the servers that are not draining. */
+  /** Selects one of the servers that are not draining. */
   Upstream pick(int selector) {
     return ready.get(selector % ready.size());
   }
 
-  /** Has a server drain and starts another one; keeps the last server. */
+  /** Drains a server and starts a new one, unless no other server would be ready. */
   void replace(Upstream old) throws IOException {
     if (ready.size() == 1) {
       return;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/Timers.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/Timers.java
@@ -18,7 +18,7 @@
             return thread;
           });
 
-  /** Runs a task after a delay, unless closed before; an exception ends it silently. */
+  /** Runs a task after a delay, unless this is closed first; exceptions of the task are ignored. */
   void schedule(long delayMillis, BackgroundThreads.Task task) {
     executor.schedule(
         () -> {
--- a/emulator/src/test/java/merlinrouter/emulator/soak/LatenessMonitorTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/LatenessMonitorTest.java
@@ -48,7 +48,7 @@
   }
 
   private void late(String observer, long fromMillis, long toMillis) {
-    lateness.of(observer).add(atMillis(fromMillis), atMillis(toMillis));
+    lateness.lateSpans(observer).add(atMillis(fromMillis), atMillis(toMillis));
   }
 
   private boolean mayExplain(Violation violation) {
--- a/emulator/src/test/java/merlinrouter/emulator/soak/ResponseMarginsTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/ResponseMarginsTest.java
@@ -63,7 +63,7 @@
   void theMarginIsWhatTheClientsTimeLeavesAfterTheResponse() {
     RequestRecord request = request();
     request.endWithResponse(200, request.expectedBody());
-    lateness.of(NODE).add(request.sentAtNanos() - 1, request.endedAtNanos() + 1);
+    lateness.lateSpans(NODE).add(request.sentAtNanos() - 1, request.endedAtNanos() + 1);
     long latencyNanos = request.endedAtNanos() - request.sentAtNanos();
     ResponseMargins margins = ResponseMargins.of(requests.requests(), lateness, nanos -> nanos);
     assertEquals(
