--- a/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
@@ -11,12 +11,12 @@
 import merlinrouter.emulator.request.RequestRegistry;
 import org.junit.jupiter.api.Test;
 
-/** Each invariant is reported when it is violated, and only then. */
+/** Tests that each violation of an invariant is reported, and nothing else. */
 class InvariantCheckerTest {
   private static final long TIMEOUT_MILLIS = 1_000;
   private static final String ENDPOINT_ID = "s-0";
 
-  /** Longer than the checker lets a request be on its way. */
+  /** Longer than the time that the checker allows for the transfer of a request, 100 ms. */
   private static final long ORDERLY_CLOSE_DELAY_MILLIS = 150;
 
   private final RequestRegistry requests = new RequestRegistry();
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void forwardedTimeoutBeyondTheDeadlineIsReported() {
+  void forwardedTimeoutLongerThanTheRemainingTimeIsReported() {
     RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
     addAttempt(request, 500, 650, false);
     assertViolates(request);
@@ -187,7 +187,7 @@
   }
 
   @Test
-  void nodeThatIsKilledOwesNoResponseToTheRequestsOfThatTime() {
+  void requestsDuringAKillOfTheirNodeNeedNoResponse() {
     long killedAtNanos = System.nanoTime();
     RequestRecord during = closedRequest(false);
     RequestRecord unanswered = sentRequest(RequestClass.IDEMPOTENT);
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void attemptsOfAnExecutedRequestAreCheckedThoughItsNodeWasKilled() {
+  void attemptsAreCheckedAlthoughTheNodeWasKilled() {
     long killedAtNanos = System.nanoTime();
     RequestRecord request = sentRequest(RequestClass.NON_IDEMPOTENT);
     request.markStarted();
@@ -212,12 +212,12 @@
   }
 
   @Test
-  void newConnectionMayBeClosedUnreadOnlyWhileIdleClientsTakeTheDescriptors() {
-    long cameAtNanos = System.nanoTime();
+  void newConnectionMayBeClosedUnreadOnlyWhileIdleClientsUseUpTheDescriptors() {
+    long idleClientsStartNanos = System.nanoTime();
     RequestRecord unread = closedRequest(false);
     RequestRecord forwarded = closedRequest(false);
     addAttempt(forwarded, 1, TIMEOUT_MILLIS - 1, false);
-    checker.idleClientsConnected("n0", cameAtNanos, System.nanoTime());
+    checker.idleClientsConnected("n0", idleClientsStartNanos, System.nanoTime());
     assertViolates(unread);
     assertViolates(forwarded, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
     assertViolates(closedRequest(false), Invariant.NO_CLOSE_WITHOUT_RESPONSE);
--- a/emulator/src/test/java/merlinrouter/emulator/soak/ClientTimeoutsTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/ClientTimeoutsTest.java
@@ -10,12 +10,12 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** How long clients wait, by the seed. */
+/** Tests the timeouts that a seed draws for clients' requests. */
 class ClientTimeoutsTest {
   private static final List<Long> FIXED_MILLIS = List.of(361L, 1_092L);
   private static final int DRAWS = 1_000;
 
-  /** The draws of a seed must stay what they were when it found something. */
+  /** A seed that found a fault must reproduce the same draws later. */
   @Test
   void withoutFixedTimeoutsTheDrawsOfASeedStayTheSame() {
     ClientTimeouts timeouts = new ClientTimeouts(List.of());
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void fixedTimeoutsComeBesideTheOthers() {
+  void fixedTimeoutsAreDrawnInAdditionToTheOthers() {
     ClientTimeouts timeouts = new ClientTimeouts(FIXED_MILLIS);
     SplittableRandom random = new SplittableRandom(1);
     List<Long> drawn =
--- a/emulator/src/test/java/merlinrouter/emulator/soak/LatenessMonitorTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/LatenessMonitorTest.java
@@ -15,12 +15,15 @@
 import merlinrouter.emulator.request.RequestRegistry;
 import org.junit.jupiter.api.Test;
 
-/** The emulator's own lateness must account for what it causes, and hide no fault of a node. */
+/** The emulator's own lateness must account for its effects, but not hide a fault of a node. */
 class LatenessMonitorTest {
   private static final String SERVER = "s-5";
   private static final long TIMEOUT_MILLIS = 1_000;
 
-  /** The attempt is received 700 ms after the request, with 1,000 ms told: 550 ms too much. */
+  /**
+   * The attempt is received 700 ms after the request was sent, with a forwarded timeout of 1,000
+   * ms: 300 ms remain and 150 ms are allowed in addition, so it exceeds the limit by 550 ms.
+   */
   private static final long RECEIVED_AFTER_MILLIS = 700;
 
   private static final long EXCESS_MILLIS = 550;
@@ -30,7 +33,7 @@
   private final RequestRecord request =
       requests.register("n0", RequestClass.IDEMPOTENT, TIMEOUT_MILLIS);
 
-  private Violation tooLongTimeout() {
+  private Violation excessiveTimeout() {
     request.markSent();
     requests.addAttempt(
         request.id(), new Attempt(SERVER, atMillis(RECEIVED_AFTER_MILLIS), TIMEOUT_MILLIS, false));
@@ -47,7 +50,7 @@
     return request.sentAtNanos() + TimeUnit.MILLISECONDS.toNanos(afterSentMillis);
   }
 
-  private void late(String observer, long fromMillis, long toMillis) {
+  private void addLateSpan(String observer, long fromMillis, long toMillis) {
     lateness.lateSpans(observer).add(atMillis(fromMillis), atMillis(toMillis));
   }
 
@@ -56,43 +59,43 @@
   }
 
   @Test
-  void aLateNodeBesideAPunctualServerIsAViolation() {
-    Violation violation = tooLongTimeout();
+  void latenessOfOtherObserversExplainsNothing() {
+    Violation violation = excessiveTimeout();
     assertFalse(mayExplain(violation));
-    late("s-4", 0, RECEIVED_AFTER_MILLIS);
-    late("n0", 0, RECEIVED_AFTER_MILLIS);
-    assertFalse(mayExplain(violation), "only the observer's own lateness counts");
+    addLateSpan("s-4", 0, RECEIVED_AFTER_MILLIS);
+    addLateSpan("n0", 0, RECEIVED_AFTER_MILLIS);
+    assertFalse(mayExplain(violation), "lateness of other observers counted");
   }
 
   @Test
-  void aLateServerMayExplainWhatItSeesTooLate() {
-    Violation violation = tooLongTimeout();
-    late(SERVER, 100, 100 + EXCESS_MILLIS);
+  void latenessOfTheServerMayExplainAnAttemptReceivedTooLate() {
+    Violation violation = excessiveTimeout();
+    addLateSpan(SERVER, 100, 100 + EXCESS_MILLIS);
     assertTrue(mayExplain(violation));
   }
 
   @Test
-  void aServerThatWasLateByLessThanTheExcessExplainsNothing() {
-    Violation violation = tooLongTimeout();
-    late(SERVER, 100, 100 + EXCESS_MILLIS - 1);
-    late(SERVER, 100 + EXCESS_MILLIS, RECEIVED_AFTER_MILLIS);
-    assertFalse(mayExplain(violation), "spans are not added up");
+  void latenessShorterThanTheExcessExplainsNothing() {
+    Violation violation = excessiveTimeout();
+    addLateSpan(SERVER, 100, 100 + EXCESS_MILLIS - 1);
+    addLateSpan(SERVER, 100 + EXCESS_MILLIS, RECEIVED_AFTER_MILLIS);
+    assertFalse(mayExplain(violation), "separate late spans were added up");
   }
 
   @Test
   void latenessBeforeOrAfterTheRequestExplainsNothing() {
-    Violation violation = tooLongTimeout();
-    late(SERVER, -1_000, 0);
-    late(SERVER, RECEIVED_AFTER_MILLIS, 5_000);
+    Violation violation = excessiveTimeout();
+    addLateSpan(SERVER, -1_000, 0);
+    addLateSpan(SERVER, RECEIVED_AFTER_MILLIS, 5_000);
     assertFalse(mayExplain(violation));
   }
 
   @Test
-  void noLatenessExplainsAResponseThatNeverCame() {
+  void latenessDoesNotExplainAMissingResponse() {
     request.markSent();
     request.end(ClientOutcome.NO_RESPONSE);
     Violation violation = onlyViolation();
-    late("n0", 0, 60_000);
+    addLateSpan("n0", 0, 60_000);
     assertFalse(mayExplain(violation));
   }
 }
--- a/emulator/src/test/java/merlinrouter/emulator/soak/ResponseMarginsTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/ResponseMarginsTest.java
@@ -14,7 +14,7 @@
 import merlinrouter.emulator.soak.ResponseMargins.Response;
 import org.junit.jupiter.api.Test;
 
-/** How near the responses came to their clients' deadlines. */
+/** Tests the margins between responses and their clients' deadlines. */
 class ResponseMarginsTest {
   private static final String NODE = "n0";
   private static final long TIMEOUT_MILLIS = 1_000;
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void quantilesAreMarginsThatWereSeen() {
+  void quantilesAreMarginsOfResponses() {
     ResponseMargins margins = margins(LongStream.rangeClosed(1, 1_000).map(i -> 1_001 - i));
     assertEquals(TimeUnit.MILLISECONDS.toNanos(1), margins.quantileNanos(0));
     assertEquals(TimeUnit.MILLISECONDS.toNanos(1), margins.quantileNanos(0.001));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void theMarginIsWhatTheClientsTimeLeavesAfterTheResponse() {
+  void theMarginIsTheTimeFromTheResponseToTheDeadline() {
     RequestRecord request = request();
     request.endWithResponse(200, request.expectedBody());
     lateness.lateSpans(NODE).add(request.sentAtNanos() - 1, request.endedAtNanos() + 1);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void anOverdueResponseTellsTheRequestAndHowLateTheEmulatorWas() {
+  void theTextOfAResponseNamesItsRequestAndTheLatenessOfTheEmulator() {
     RequestRecord request = request();
     request.setClientCpuWaitNanos(TimeUnit.MILLISECONDS.toNanos(20));
     Response response =
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void onlyCompleteRequestsWithAResponseCount() {
+  void onlyCompleteRequestsWithAResponseHaveAMargin() {
     request().end(ClientOutcome.NO_RESPONSE);
     request().end(ClientOutcome.CLIENT_DISCONNECTED);
     RequestRecord incomplete = request();
--- a/emulator/src/test/java/merlinrouter/emulator/soak/SignalSeriesTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/SignalSeriesTest.java
@@ -9,7 +9,7 @@
 import merlinrouter.emulator.fleet.NodeProcess.Signal;
 import org.junit.jupiter.api.Test;
 
-/** What a drawn series of signals may hold. */
+/** Tests which signals a drawn series contains. */
 class SignalSeriesTest {
   private static final int SEEDS = 200;
   private static final long MAX_PAUSE_MILLIS = 150;
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void eachSeriesRepeatsTheTerminationAndPausesForNoLongerThanTheRulesAllow() {
+  void eachSeriesRepeatsTheTerminationAndPausesForAtMost150Millis() {
     for (int seed = 0; seed < SEEDS; seed++) {
       SignalSeries series = SignalSeries.drawTermination(new SplittableRandom(seed));
       List<Signal> signals = signals(series);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void withoutReloadsOnlyTheOtherSignalsStay() {
+  void withoutReloadsOnlyTheOtherSignalsRemain() {
     SignalSeries series =
         new SignalSeries(
             List.of(
--- a/emulator/src/test/java/merlinrouter/emulator/soak/SoakResultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/SoakResultTest.java
@@ -7,7 +7,7 @@
 import merlinrouter.emulator.soak.SoakResult.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** What a run says of the nodes. */
+/** Tests the verdict of a run. */
 class SoakResultTest {
   private static SoakResult result(int inconclusiveRequests, List<NodeFault> nodeFaults) {
     return new SoakResult(
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aFaultOfANodeFailsTheRunHoweverLateTheEmulatorWas() {
+  void aNodeFaultFailsTheRunRegardlessOfTheEmulatorsLateness() {
     assertEquals(Verdict.FAILED, result(500, List.of(new NodeFault("n0", "ended"))).verdict());
   }
 }
--- a/emulator/src/test/java/merlinrouter/emulator/soak/SoakSettingsTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/SoakSettingsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a soak test plays, by its options and its seed. */
+/** Tests the faults and the kill delay that follow from options and seed. */
 class SoakSettingsTest {
   private static final String DEFAULT_KINDS =
       "[ACCEPT_FAILS, SOCKET_FAILS, CONNECT_FAILS, READS_INTERRUPTED, SHORT_CALLS, CLOCK_STEPS,"
@@ -29,21 +29,21 @@
   }
 
   @Test
-  void aHardRunKillsAtTheEarliestMomentThatTheTermsAllow() {
+  void aHardRunKillsAtTheEarliestPermittedTime() {
     assertEquals(Duration.ofMillis(3_700), settings(false).killDelay());
     assertEquals(Duration.ofMillis(3_200), settings(true).killDelay());
   }
 
   @Test
-  void crowdsComeInEveryThirdSeedOfAHardRun() {
+  void idleClientsConnectInEveryThirdSeedOfAHardRun() {
     assertEquals(List.of(), settings(false).processFaultKinds(3));
     assertTrue(settings(true).processFaultKinds(3).contains(ProcessFaultKind.CROWDED));
     assertFalse(settings(true).processFaultKinds(4).contains(ProcessFaultKind.CROWDED));
   }
 
-  /** The draws of a seed must stay what they were when it found something. */
+  /** A seed that found a fault must reproduce the same draws later. */
   @Test
-  void theKindsOfAPlainRunKeepTheirOrder() {
+  void theDefaultKindsKeepTheirOrder() {
     assertEquals(DEFAULT_KINDS, FaultKind.defaultKinds().toString());
   }
 }
