--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
@@ -56,7 +56,9 @@
   COUNTER_SILENT,
   /** The quota counter's connections are reset. */
   COUNTER_RESET,
-  /** Two thirds of the upstream servers start to drain at the same time, and others start. */
+  /**
+   * Two thirds of the upstream servers start to drain at the same time, and as many new ones start.
+   */
   MOST_SERVERS_REPLACED;
 
   /**
--- a/emulator/src/main/java/merlinrouter/emulator/soak/IdleClients.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/IdleClients.java
@@ -24,7 +24,7 @@
    * Creates clients that have not connected.
    *
    * @param port the node's loopback port
-   * @param maxConnections the maximum number of open connections, beyond which the oldest is closed
+   * @param maxConnections the maximum number of open connections; one more closes the oldest
    */
   IdleClients(int port, int maxConnections) {
     this.port = port;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/LatenessMonitor.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/LatenessMonitor.java
@@ -55,7 +55,7 @@
 
   /**
    * Returns whether the observer's own lateness may account for a violation: only a time shows the
-   * violation, and it exceeds its limit by no more than the observer was late meanwhile.
+   * violation, and it exceeds its limit by no more than the observer's lateness in that time.
    */
   boolean mayExplain(Violation violation, long sentAtNanos, long observedAtNanos) {
     return violation.isTimed()
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
@@ -48,10 +48,10 @@
   private Thread thread;
 
   /**
-   * Creates an injector that does nothing yet.
+   * Creates an injector that does nothing until it is started.
    *
    * @param checker is notified of idle clients
-   * @param faultInjector interrupts discovery
+   * @param faultInjector starts outages of discovery
    * @param kinds the kinds of fault to draw from
    */
   ProcessFaultInjector(
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ResponseMargins.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ResponseMargins.java
@@ -19,7 +19,8 @@
    * @param sentMillis when the request was sent, in milliseconds since the run's start
    * @param marginNanos the time from the response's last byte to the client's deadline; negative
    *     after the deadline
-   * @param emulatorLateNanos the greatest lateness of the emulator's clients of that node meanwhile
+   * @param emulatorLateNanos the greatest lateness of the emulator's clients of that node from the
+   *     sending of the request to the response
    */
   record Response(
       RequestRecord request, long sentMillis, long marginNanos, long emulatorLateNanos) {
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakCommand.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakCommand.java
@@ -31,7 +31,7 @@
           + " every request against the service's invariants.",
       "Exit status: 0 if all seeds passed, 1 if an invariant was violated, a node process failed or"
           + " an attempt carried an unknown id, 2 for a bad command line, 3 if no seed failed but"
-          + " the emulator itself was late for over 1 % of the requests of a seed."
+          + " the emulator itself was late for more than 1 in 100 requests of a seed."
     })
 public final class SoakCommand implements Callable<Integer> {
   private static final int EXIT_PASSED = 0;
