--- a/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
@@ -11,12 +11,12 @@
 import merlinrouter.emulator.request.RequestRegistry;
 import org.junit.jupiter.api.Test;
 
-/** Each invariant is reported when it is violated, and only then. */
+/** Tests that each violation of an invariant is reported, and nothing else. */
 class InvariantCheckerTest {
   private static final long TIMEOUT_MILLIS = 1_000;
   private static final String ENDPOINT_ID = "s-0";
 
-  /** Longer than the checker lets a request be on its way. */
+  /** Longer than the time that the checker allows for the transfer of a request, 100 ms. */
   private static final long ORDERLY_CLOSE_DELAY_MILLIS = 150;
 
   private final RequestRegistry requests = new RequestRegistry();
@@ -30,7 +30,7 @@
 
   private RequestRecord servedRequest(RequestClass requestClass) {
     RequestRecord request = sentRequest(requestClass);
-    request.respond(200, request.expectedBody());
+    request.endWithResponse(200, request.expectedBody());
     return request;
   }
 
@@ -104,7 +104,7 @@
   @Test
   void responseOfAnotherRequestIsReported() {
     RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
-    request.respond(200, RequestRecord.expectedBody("another"));
+    request.endWithResponse(200, RequestRecord.expectedBody("another"));
     assertViolates(request, Invariant.OWN_RESPONSE_ONLY);
   }
 
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void forwardedTimeoutBeyondTheDeadlineIsReported() {
+  void forwardedTimeoutLongerThanTheRemainingTimeIsReported() {
     RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
     addAttempt(request, 500, 650, false);
     assertViolates(request);
@@ -182,12 +182,12 @@
     request.setConnectionReused(true);
     request.markSent();
     Thread.sleep(ORDERLY_CLOSE_DELAY_MILLIS);
-    request.endInOrder();
+    request.endWithOrderlyClose();
     assertViolates(request, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
   }
 
   @Test
-  void nodeThatIsKilledOwesNoResponseToTheRequestsOfThatTime() {
+  void requestsDuringAKillOfTheirNodeNeedNoResponse() {
     long killedAtNanos = System.nanoTime();
     RequestRecord during = closedRequest(false);
     RequestRecord unanswered = sentRequest(RequestClass.IDEMPOTENT);
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void attemptsOfAnExecutedRequestAreCheckedThoughItsNodeWasKilled() {
+  void attemptsAreCheckedAlthoughTheNodeWasKilled() {
     long killedAtNanos = System.nanoTime();
     RequestRecord request = sentRequest(RequestClass.NON_IDEMPOTENT);
     request.markStarted();
@@ -212,12 +212,12 @@
   }
 
   @Test
-  void newConnectionMayBeClosedUnreadOnlyWhileIdleClientsTakeTheDescriptors() {
-    long cameAtNanos = System.nanoTime();
+  void newConnectionMayBeClosedUnreadOnlyWhileIdleClientsUseUpTheDescriptors() {
+    long idleClientsStartNanos = System.nanoTime();
     RequestRecord unread = closedRequest(false);
     RequestRecord forwarded = closedRequest(false);
     addAttempt(forwarded, 1, TIMEOUT_MILLIS - 1, false);
-    checker.crowded("n0", cameAtNanos, System.nanoTime());
+    checker.idleClientsConnected("n0", idleClientsStartNanos, System.nanoTime());
     assertViolates(unread);
     assertViolates(forwarded, Invariant.NO_CLOSE_WITHOUT_RESPONSE);
     assertViolates(closedRequest(false), Invariant.NO_CLOSE_WITHOUT_RESPONSE);
