--- a/emulator/src/main/java/merlinrouter/emulator/fleet/FaultShim.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/FaultShim.java
@@ -136,7 +136,7 @@
   }
 
   /** Ends what {@link #failEvery} or {@link #shortenEvery} began. */
-  public void stopEvery(Fault fault) {
+  public void stopPeriodic(Fault fault) {
     control.put(slot(fault) + INTERVAL, 0);
   }
 
--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultInjector.java
@@ -114,13 +114,13 @@
 
   private void failCalls(Fleet.Node node, Fault call, Errno error, ScheduledFault fault) {
     node.shim().failEvery(call, callInterval(fault), error);
-    timers.schedule(fault.durationMillis(), () -> node.shim().stopEvery(call));
+    timers.schedule(fault.durationMillis(), () -> node.shim().stopPeriodic(call));
   }
 
   private void shortenCalls(Fleet.Node node, Fault call, ScheduledFault fault) {
     int maxBytes = 1 + fault.selector() % MAX_SHORT_CALL_BYTES;
     node.shim().shortenEvery(call, callInterval(fault), maxBytes);
-    timers.schedule(fault.durationMillis(), () -> node.shim().stopEvery(call));
+    timers.schedule(fault.durationMillis(), () -> node.shim().stopPeriodic(call));
   }
 
   private static void stepWallClock(Fleet.Node node, ScheduledFault fault) {
