--- a/emulator/src/main/java/merlinrouter/emulator/peer/BackgroundThreads.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/BackgroundThreads.java
@@ -2,15 +2,18 @@
 
 import java.io.IOException;
 
-/** Daemon threads, which end with their sockets and do not keep the process alive. */
+/**
+ * Starts daemon threads for blocking I/O. A thread ends when its socket is closed and does not keep
+ * the process alive.
+ */
 public final class BackgroundThreads {
   private static final long STACK_BYTES = 256 * 1024;
 
   private BackgroundThreads() {}
 
-  /** Work that may end with its socket. */
+  /** Work of a thread, which an I/O error or an interrupt may end. */
   public interface Task {
-    /** Does the work. */
+    /** Runs until the work is done or its socket is closed. */
     void run() throws IOException, InterruptedException;
   }
 
--- a/emulator/src/main/java/merlinrouter/emulator/peer/Client.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/Client.java
@@ -10,13 +10,14 @@
 import merlinrouter.emulator.request.RequestRecord;
 
 /**
- * A client of a node, which sends one request at a time and keeps its connection. What happens to a
- * request is written to its record. Used by one thread at a time.
+ * A client of a node, which sends one request at a time and keeps its connection open between
+ * requests. It records the sending and the outcome of each request in the {@link RequestRecord}.
+ * Not thread-safe: only one thread may use it at a time.
  */
 public final class Client implements AutoCloseable {
   /**
-   * How long after a request's timeout its response is still awaited. Whether it came too late is
-   * left to the checks.
+   * How long the client waits for a response beyond the request's timeout. The invariant checks
+   * decide whether a response was too late.
    */
   private static final int EXTRA_WAIT_MILLIS = 3_500;
 
@@ -27,18 +28,18 @@
   private final int port;
   private Socket socket;
 
-  /** Creates a client of the node on a loopback port; it connects with its first request. */
+  /** Creates a client of the node on a loopback port; it connects when it sends a request. */
   public Client(int port) {
     this.port = port;
   }
 
-  /** Sends a request and waits for its end. */
+  /** Sends a request and waits until it ends. */
   public void exchange(RequestRecord request) throws InterruptedException {
     send(request);
     receive(request);
   }
 
-  /** Sends a request and disconnects after a while without reading the response. */
+  /** Sends a request and disconnects after a delay without reading the response. */
   public void sendAndDisconnect(RequestRecord request, long delayMillis)
       throws InterruptedException {
     send(request);
@@ -49,7 +50,7 @@
     }
   }
 
-  /** Sends the first half of a request and waits for what the node does about it. */
+  /** Sends the first half of a request, waits for the node to respond or close, and disconnects. */
   public void sendHalf(RequestRecord request) throws InterruptedException {
     request.markIncomplete();
     byte[] bytes = encode(request);
@@ -63,23 +64,23 @@
     sendInTwoParts(request, 0);
   }
 
-  /** Sends a request in two parts with a pause between them; at once where the pause is 0. */
+  /** Sends a request in two parts with a pause between them, or in one part if the pause is 0. */
   public void sendInTwoParts(RequestRecord request, long pauseMillis) throws InterruptedException {
     byte[] bytes = encode(request);
     write(request, bytes, bytes.length, pauseMillis);
   }
 
-  /** Waits for the end of a request that was sent. */
+  /** Waits until a request that was sent ends. */
   public void receive(RequestRecord request) {
     if (request.hasEnded()) {
       return;
     }
     long cpuWaitBeforeNanos = CpuWait.ofCurrentThreadNanos();
-    receiveOrEnd(request);
+    receiveResponse(request);
     request.setClientCpuWaitNanos(CpuWait.ofCurrentThreadNanos() - cpuWaitBeforeNanos);
   }
 
-  private void receiveOrEnd(RequestRecord request) {
+  private void receiveResponse(RequestRecord request) {
     try {
       socket.setSoTimeout((int) request.timeoutMillis() + EXTRA_WAIT_MILLIS);
       HttpMessage response = HttpMessage.read(socket.getInputStream());
@@ -96,11 +97,11 @@
       request.end(ClientOutcome.NO_RESPONSE);
       close();
     } catch (IOException e) {
-      endOfConnection(request);
+      endByClosedConnection(request);
     }
   }
 
-  /** Whether it has a connection. */
+  /** Returns whether the client has an open connection. */
   public boolean isConnected() {
     return socket != null;
   }
@@ -124,7 +125,7 @@
       request.markSent();
     } catch (IOException e) {
       request.markSent();
-      endOfConnection(request);
+      endByClosedConnection(request);
     }
   }
 
@@ -140,7 +141,7 @@
     }
   }
 
-  private void endOfConnection(RequestRecord request) {
+  private void endByClosedConnection(RequestRecord request) {
     request.end(ClientOutcome.CONNECTION_CLOSED);
     close();
   }
@@ -150,14 +151,14 @@
     StringBuilder head = new StringBuilder();
     head.append(requestClass.method()).append(" /api?slot=1 HTTP/1.1\r\n");
     appendHeader(head, "Host", "app.svc");
-    appendHeader(head, MatchProtocol.REQUEST_ID, request.id());
-    appendHeader(head, MatchProtocol.REQUEST_CLASS, requestClass.configuredName());
-    appendHeader(head, MatchProtocol.QUOTA_PLAN, QUOTA_PLAN);
-    appendHeader(head, "Cookie", MatchProtocol.CUSTOMER_COOKIE + "=" + customerOf(request));
-    appendHeader(head, MatchProtocol.TIMEOUT_MILLIS, Long.toString(request.timeoutMillis()));
-    appendHeader(head, MatchProtocol.QUOTA, "units=1,spread=2,first=0");
+    appendHeader(head, ServiceProtocol.REQUEST_ID, request.id());
+    appendHeader(head, ServiceProtocol.REQUEST_CLASS, requestClass.configuredName());
+    appendHeader(head, ServiceProtocol.QUOTA_PLAN, QUOTA_PLAN);
+    appendHeader(head, "Cookie", ServiceProtocol.CUSTOMER_COOKIE + "=" + customerOf(request));
+    appendHeader(head, ServiceProtocol.TIMEOUT_MILLIS, Long.toString(request.timeoutMillis()));
+    appendHeader(head, ServiceProtocol.QUOTA, "units=1,spread=2,first=0");
     if (requestClass == RequestClass.IDEMPOTENCY_KEY) {
-      appendHeader(head, MatchProtocol.IDEMPOTENCY_KEY, "key-" + request.id());
+      appendHeader(head, ServiceProtocol.IDEMPOTENCY_KEY, "key-" + request.id());
     }
     String body = "";
     if (requestClass.hasBody()) {
@@ -182,7 +183,7 @@
       try {
         socket.close();
       } catch (IOException ignored) {
-        // It is closed already.
+        // The socket is already closed.
       }
       socket = null;
     }
--- a/emulator/src/main/java/merlinrouter/emulator/peer/CounterServer.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/CounterServer.java
@@ -7,12 +7,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Emulates the quota counter: totals by key, which live for the time that their first call set. */
+/**
+ * Emulates the quota counter: one total per key, which expires after the time to live that the
+ * first call for this key set.
+ */
 public final class CounterServer extends LoopbackServer {
   /** Query parameter: the units to add. */
   private static final String AMOUNT = "n=";
 
-  /** Query parameter: how long a new counter lives, in milliseconds. */
+  /** Query parameter: time to live of a new counter, in milliseconds. */
   private static final String TIME_TO_LIVE_MILLIS = "keep_ms=";
 
   private record Counter(double totalUnits, long expiresAtNanos) {}
@@ -28,12 +31,12 @@
     start();
   }
 
-  /** Sets whether calls are counted but not answered. */
+  /** Sets whether the units of calls are added but no responses are sent. */
   public void setUnresponsive(boolean unresponsive) {
     this.unresponsive = unresponsive;
   }
 
-  /** How many calls have been received so far. */
+  /** Returns how many calls have been received so far. */
   public long calls() {
     return calls.get();
   }
@@ -52,7 +55,7 @@
     }
   }
 
-  /** Reads a path of the form {@code key?n=units&keep_ms=millis}. */
+  /** Parses a path of the form {@code key?n=units&keep_ms=millis}. */
   private static Addition parse(String path) {
     String[] parts = path.split("[?&]");
     return new Addition(
--- a/emulator/src/main/java/merlinrouter/emulator/peer/CpuWait.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/CpuWait.java
@@ -5,18 +5,24 @@
 import java.nio.file.Path;
 
 /**
- * How long threads have been ready to run while no CPU ran them, by the kernel's account. Unlike a
- * probe, it tells of the very thread that was late.
+ * Reads how long threads have been runnable without running on a CPU, from the kernel's scheduler
+ * statistics. Unlike a separate probe thread, this measures the thread that was late.
  */
 final class CpuWait {
-  /** Holds the time on a CPU, the time waiting for one, both in nanoseconds, and a count. */
+  /**
+   * Contains the time on a CPU and the time waiting for one, both in nanoseconds, and the number of
+   * time slices.
+   */
   private static final Path CURRENT_THREAD = Path.of("/proc/thread-self/schedstat");
 
   private static final int WAITED_FIELD = 1;
 
   private CpuWait() {}
 
-  /** The present thread's wait since its start, in nanoseconds; 0 where the kernel keeps none. */
+  /**
+   * Returns how long the current thread has waited for a CPU since its start, in nanoseconds; 0 if
+   * the kernel does not provide it.
+   */
   static long ofCurrentThreadNanos() {
     try {
       return waitedNanos(Files.readString(CURRENT_THREAD));
@@ -25,7 +31,7 @@
     }
   }
 
-  /** The wait that a line of {@code schedstat} tells, in nanoseconds. */
+  /** Returns the wait in a line of {@code schedstat}, in nanoseconds. */
   static long waitedNanos(String schedstat) {
     return Long.parseLong(schedstat.strip().split(" ")[WAITED_FIELD]);
   }
--- a/emulator/src/main/java/merlinrouter/emulator/peer/DiscoveryProtocol.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/DiscoveryProtocol.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Discovery's endpoint lists as JSON, and the query that asks for them. */
+/** Writes discovery's endpoint lists as JSON and parses the requests for them. */
 final class DiscoveryProtocol {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -33,10 +33,10 @@
   private DiscoveryProtocol() {}
 
   /**
-   * Writes an endpoint list.
+   * Returns an endpoint list as JSON.
    *
    * @param revision the list's revision
-   * @param full whether it is the whole list, not only what changed
+   * @param full whether it is the full list, not only the changes
    * @param entries the list's entries
    */
   static String endpointList(long revision, boolean full, List<EndpointEntry> entries) {
@@ -56,16 +56,16 @@
     return root.toString();
   }
 
-  /** Whether a request asks to watch the list instead of reading it. */
+  /** Returns whether a request opens a watch instead of reading the list once. */
   static boolean isWatch(HttpMessage request) {
     return request.path().contains(WATCH_PARAMETER);
   }
 
-  /** The revision after which a watch asks for changes. */
+  /** Returns the revision after which a watch requests changes. */
   static long knownRevision(HttpMessage watch) {
     Matcher matcher = KNOWN_REVISION_PARAMETER.matcher(watch.path());
     if (!matcher.find()) {
-      throw new IllegalArgumentException("a watch without a revision: " + watch.path());
+      throw new IllegalArgumentException("watch request has no revision: " + watch.path());
     }
     return Long.parseLong(matcher.group(1));
   }
--- a/emulator/src/main/java/merlinrouter/emulator/peer/DiscoveryServer.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/DiscoveryServer.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Emulates discovery: the endpoint list and watches of its changes. */
+/** Emulates discovery: serves the endpoint list and watches of its changes. */
 public final class DiscoveryServer extends LoopbackServer {
-  /** A watch on which nothing changes sends an empty line as often as this. */
+  /** Interval of the empty lines that are sent on a watch while nothing changes. */
   private static final long HEARTBEAT_MILLIS = 2_000;
 
-  private record Versioned(EndpointEntry entry, long revision) {}
+  private record VersionedEntry(EndpointEntry entry, long revision) {}
 
-  private final Map<String, Versioned> entries = new LinkedHashMap<>();
+  private final Map<String, VersionedEntry> entries = new LinkedHashMap<>();
   private long revision = 1;
   private boolean unresponsive;
 
-  /** The full list as of the last moment at which it could be sent. */
+  /** The full list at the moment when the server last became unresponsive. */
   private String lastSentList = "";
 
   /** Starts the server with an empty list. */
@@ -31,11 +31,14 @@
   /** Adds or changes an entry under a new revision. */
   public synchronized void publish(EndpointEntry changed) {
     revision++;
-    entries.put(changed.id(), new Versioned(changed, revision));
+    entries.put(changed.id(), new VersionedEntry(changed, revision));
     notifyAll();
   }
 
-  /** While unresponsive it accepts connections and sends nothing, on open watches neither. */
+  /**
+   * Sets whether the server is unresponsive. While it is, it accepts connections but sends nothing,
+   * not even on open watches.
+   */
   public synchronized void setUnresponsive(boolean unresponsive) {
     if (unresponsive && !this.unresponsive) {
       lastSentList = fullList();
@@ -45,18 +48,18 @@
   }
 
   /**
-   * The full list as JSON that a node can have received last: the present one, or while
-   * unresponsive the one from before.
+   * Returns the latest full list, as JSON, that a node can have received: the current one or, while
+   * the server is unresponsive, the one from before.
    */
   public synchronized String lastSentList() {
     return unresponsive ? lastSentList : fullList();
   }
 
-  /** The full list as JSON, without removed endpoints. */
+  /** Returns the full list as JSON, without removed endpoints. */
   public synchronized String fullList() {
     List<EndpointEntry> listed =
         entries.values().stream()
-            .map(Versioned::entry)
+            .map(VersionedEntry::entry)
             .filter(entry -> entry.state() != EndpointEntry.State.REMOVED)
             .toList();
     return DiscoveryProtocol.endpointList(revision, true, listed);
@@ -77,7 +80,7 @@
     }
   }
 
-  /** Sends changes, one line a chunk, until the watch's connection ends. */
+  /** Sends changes, one line per chunk, until the watch's connection ends. */
   private void serveWatch(OutputStream out, long firstKnownRevision)
       throws IOException, InterruptedException {
     HttpMessage.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -93,10 +96,12 @@
     }
   }
 
-  /** The changes as JSON; empty where there are none. The caller holds the lock. */
+  /**
+   * Returns the changes as JSON, or an empty string if there are none. The caller holds the lock.
+   */
   private String changesSince(long knownRevision) {
     List<EndpointEntry> changed = new ArrayList<>();
-    for (Versioned versioned : entries.values()) {
+    for (VersionedEntry versioned : entries.values()) {
       if (versioned.revision() > knownRevision) {
         changed.add(versioned.entry());
       }
@@ -104,7 +109,10 @@
     return changed.isEmpty() ? "" : DiscoveryProtocol.endpointList(revision, false, changed);
   }
 
-  /** Waits for a change or the next heartbeat; while unresponsive, for the end of that too. */
+  /**
+   * Waits until there is a change or a heartbeat is due, and in any case until the server is
+   * responsive.
+   */
   private synchronized void awaitChange(long knownRevision) throws InterruptedException {
     long heartbeatAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS);
     while (unresponsive || revision == knownRevision) {
--- a/emulator/src/main/java/merlinrouter/emulator/peer/EndpointEntry.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/EndpointEntry.java
@@ -3,21 +3,21 @@
 /**
  * An entry of discovery's endpoint list.
  *
- * @param id the endpoint's name
- * @param address where nodes connect to, as {@code host:port}
+ * @param id the endpoint's id
+ * @param address the {@code host:port} that nodes connect to
  * @param zone the endpoint's zone
  * @param cell the endpoint's cell
- * @param state whether it takes requests
- * @param startedAtUnixMillis when it started, in Unix time; 0 for long ago
+ * @param state whether it accepts requests
+ * @param startedAtUnixMillis when it started, in milliseconds of Unix time; 0 for a start long ago
  */
 public record EndpointEntry(
     String id, String address, String zone, int cell, State state, long startedAtUnixMillis) {
 
-  /** What discovery says of an endpoint. */
+  /** State of an endpoint in the list. */
   public enum State {
-    /** Takes new requests. */
+    /** Accepts new requests. */
     READY("Ready"),
-    /** Finishes what it has and takes nothing new. */
+    /** Completes the requests that it has and accepts no new ones. */
     DRAINING("Terminating"),
     /** Removed from the list. */
     REMOVED("Gone");
--- a/emulator/src/main/java/merlinrouter/emulator/peer/FaultProxy.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/FaultProxy.java
@@ -11,16 +11,16 @@
 public final class FaultProxy extends LoopbackServer {
   /** How the network behaves. */
   public enum Condition {
-    /** Bytes are forwarded as they come. */
+    /** Bytes are forwarded immediately. */
     NORMAL,
     /**
-     * Nothing is forwarded and neither side is notified. Connections that sent or opened meanwhile
-     * are reset when it is over.
+     * Nothing is forwarded and neither side is notified. Connections that were opened or on which
+     * bytes were sent meanwhile are reset when this condition ends.
      */
     BLACKHOLE,
-    /** Bytes are forwarded a few at a time. */
+    /** Bytes are forwarded in small fragments. */
     FRAGMENTED,
-    /** Bytes are forwarded late. */
+    /** Bytes are forwarded after a delay. */
     DELAYED
   }
 
@@ -28,7 +28,7 @@
   private static final int FRAGMENT_BYTES = 17;
   private static final long DELAY_MILLIS = 40;
   private static final long BLACKHOLE_POLL_MILLIS = 5;
-  private static final long RESPONSE_DIRECTION_END_MILLIS = TimeUnit.SECONDS.toMillis(1);
+  private static final long MAX_RESPONSE_END_WAIT_MILLIS = TimeUnit.SECONDS.toMillis(1);
 
   private final int targetPort;
   private volatile Condition condition = Condition.NORMAL;
@@ -54,12 +54,13 @@
       server.setTcpNoDelay(true);
       Thread responses = BackgroundThreads.start("proxy responses", () -> forward(server, client));
       forward(client, server);
-      responses.join(RESPONSE_DIRECTION_END_MILLIS);
+      responses.join(MAX_RESPONSE_END_WAIT_MILLIS);
     }
   }
 
   /**
-   * Forwards one direction until it ends; an orderly end is forwarded as such, a reset as a reset.
+   * Forwards one direction until it ends. An orderly close is forwarded as an orderly close, a
+   * reset as a reset.
    */
   private void forward(Socket source, Socket target) throws IOException, InterruptedException {
     byte[] buffer = new byte[BUFFER_BYTES];
@@ -91,14 +92,14 @@
     for (int from = 0; from < length; from += fragmentBytes) {
       out.write(buffer, from, Math.min(fragmentBytes, length - from));
       if (fragmentBytes < length) {
-        // No sleep, which may take far longer on a busy machine. Each write is a segment of its
-        // own, since TCP_NODELAY is set.
+        // Yields instead of sleeping, as a sleep may take far longer on a busy machine. Each write
+        // is a segment of its own because TCP_NODELAY is set.
         Thread.yield();
       }
     }
   }
 
-  /** Waits while the network is a black hole; returns whether it was one. */
+  /** Waits while the network is a black hole and returns whether it was one. */
   private boolean awaitBlackholeEnd() throws InterruptedException {
     boolean blackhole = false;
     while (condition == Condition.BLACKHOLE) {
--- a/emulator/src/main/java/merlinrouter/emulator/peer/HttpMessage.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/HttpMessage.java
@@ -13,17 +13,18 @@
  * An HTTP/1.1 message with a content length, read from and written to blocking streams.
  *
  * @param startLine the request line or the status line
- * @param headers values by lower-case name; the last value of a repeated header counts
+ * @param headers values by lower-case name; of a repeated header, the last value
  * @param body the body's bytes as Latin-1 text
  */
 public record HttpMessage(String startLine, Map<String, String> headers, String body) {
-  /** The status line's part of a successful response. */
+  /** Status code and reason phrase of a successful response. */
   static final String STATUS_OK = "200 OK";
 
   /**
-   * Reads one message; null where the stream ends before its first byte.
+   * Reads one message. Returns null if the stream ends before the first byte.
    *
-   * @throws IOException if the stream fails, ends within the message, or holds no message
+   * @throws IOException if the stream fails, ends within a line or the body, or a header is
+   *     malformed
    */
   public static HttpMessage read(InputStream in) throws IOException {
     String startLine = readLine(in);
@@ -34,7 +35,7 @@
     for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
       int colon = line.indexOf(':');
       if (colon < 1) {
-        throw new IOException("a header without a colon: " + line);
+        throw new IOException("header line has no colon: " + line);
       }
       headers.put(
           line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
@@ -42,31 +43,32 @@
     int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
     byte[] body = in.readNBytes(length);
     if (body.length < length) {
-      throw new IOException("the stream ended within a body");
+      throw new IOException(
+          "stream ended within a body: received " + body.length + " of " + length + " bytes");
     }
     return new HttpMessage(startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
   }
 
-  /** The status code of a response. */
+  /** Returns the status code of a response. */
   public int status() {
     return Integer.parseInt(startLine.split(" ")[1]);
   }
 
-  /** The path of a request with its query. */
+  /** Returns the path of a request with its query. */
   public String path() {
     return startLine.split(" ")[1];
   }
 
-  /** The value of a header, whose name may be in any case. */
+  /** Returns the value of a header, or a default value; the name is case-insensitive. */
   public String header(String name, String defaultValue) {
     return headers.getOrDefault(name.toLowerCase(Locale.ROOT), defaultValue);
   }
 
   /**
-   * The text of a response with a content length.
+   * Returns the text of a response with a content length.
    *
-   * @param status code and reason
-   * @param headerLines further header lines, each with its line end
+   * @param status status code and reason phrase
+   * @param headerLines further header lines, each with its CRLF
    * @param body the body as Latin-1 text
    */
   static String response(String status, String headerLines, String body) {
@@ -87,7 +89,7 @@
         if (line.size() == 0) {
           return null;
         }
-        throw new IOException("the stream ended within a line");
+        throw new IOException("stream ended within a line of the head");
       }
       line.write(next);
     }
--- a/emulator/src/main/java/merlinrouter/emulator/peer/LoopbackServer.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/LoopbackServer.java
@@ -16,13 +16,13 @@
   private final ServerSocket serverSocket = new ServerSocket();
   private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-  /** Binds to a free port; {@link #start} begins to accept. */
+  /** Binds to a free port; {@link #start} starts accepting connections. */
   LoopbackServer() throws IOException {
     serverSocket.bind(
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG_CONNECTIONS);
   }
 
-  /** Begins to accept; called once, when the subclass is complete. */
+  /** Starts accepting connections; called once, at the end of the subclass's constructor. */
   final void start() {
     BackgroundThreads.start(getClass().getSimpleName(), this::acceptConnections);
   }
@@ -30,17 +30,17 @@
   /** Serves one connection until it ends. */
   abstract void serve(Socket socket) throws IOException, InterruptedException;
 
-  /** The address as {@code host:port}. */
+  /** Returns the address as {@code host:port}. */
   public final String address() {
     return "127.0.0.1:" + port();
   }
 
-  /** The port that it listens on. */
+  /** Returns the port that the server listens on. */
   public final int port() {
     return serverSocket.getLocalPort();
   }
 
-  /** How many connections are open. */
+  /** Returns how many connections are open. */
   public final int openConnections() {
     return openSockets.size();
   }
@@ -54,7 +54,7 @@
   public final void resetConnectionsAndWait() throws InterruptedException {
     resetConnections();
     while (!openSockets.isEmpty()) {
-      // A thread that still reads holds its socket open until it has been woken.
+      // A thread that is blocked in a read keeps its socket open until it has been woken.
       Thread.sleep(RESET_POLL_MILLIS);
     }
   }
@@ -65,7 +65,7 @@
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException ignored) {
-      // It is closed already.
+      // The socket is already closed.
     }
   }
 
--- a/emulator/src/main/java/merlinrouter/emulator/peer/UpstreamServer.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/UpstreamServer.java
@@ -7,7 +7,7 @@
 import merlinrouter.emulator.request.RequestRecord;
 import merlinrouter.emulator.request.RequestRegistry;
 
-/** Emulates an upstream server: treats each request as scripted and records every attempt. */
+/** Emulates an upstream server: reacts to each request as scripted and records every attempt. */
 public final class UpstreamServer extends LoopbackServer {
   /** What the server does with a request. */
   public enum Behavior {
@@ -17,7 +17,7 @@
     RESPOND_WITHOUT_LENGTH,
     /** Responds with 200 and no content length; a reset follows the body. */
     RESET_AFTER_BODY_WITHOUT_LENGTH,
-    /** Sends a part of a response with a content length, then closes orderly. */
+    /** Sends a part of a response with a content length, then closes the connection in order. */
     TRUNCATE_RESPONSE,
     /** Resets the connection before any response. */
     RESET,
@@ -31,7 +31,7 @@
 
   /** Chooses the reaction to each request. */
   public interface Script {
-    /** The reaction to the request with this id. */
+    /** Returns the reaction to the request with this id. */
     Reaction reactionTo(String requestId);
   }
 
@@ -39,19 +39,19 @@
    * What the server does with a request, and when.
    *
    * @param behavior what it does
-   * @param delayMillis time before it does so
+   * @param delayMillis how long it waits first
    */
   public record Reaction(Behavior behavior, long delayMillis) {}
 
   private static final String STATUS_ERROR = "500 Error";
   private static final String STATUS_REJECTED = "503 Full";
 
-  /** A body without a length is written in fragments, so that only the close tells its end. */
+  /** A body without a length is written in fragments, so that only the close marks its end. */
   private static final int BODY_FRAGMENTS = 3;
 
   private static final long FRAGMENT_PAUSE_MILLIS = 2;
 
-  /** Lets the body arrive before the reset, which would discard it. */
+  /** Lets the node receive the body before the reset, which would discard it. */
   private static final long PAUSE_BEFORE_RESET_MILLIS = 5;
 
   private static final int TRUNCATED_BYTES = 2;
@@ -64,7 +64,7 @@
    * Starts a server.
    *
    * @param id the server's id in the endpoint list
-   * @param script chooses what it does
+   * @param script chooses the reaction to each request
    * @param requests where attempts are recorded
    */
   public UpstreamServer(String id, Script script, RequestRegistry requests) throws IOException {
@@ -74,7 +74,7 @@
     start();
   }
 
-  /** The server's id in the endpoint list. */
+  /** Returns the server's id in the endpoint list. */
   public String id() {
     return id;
   }
@@ -87,7 +87,7 @@
       if (request == null) {
         return;
       }
-      String requestId = request.header(MatchProtocol.REQUEST_ID, "");
+      String requestId = request.header(ServiceProtocol.REQUEST_ID, "");
       Reaction reaction = script.reactionTo(requestId);
       recordAttempt(request, requestId, reaction.behavior());
       Thread.sleep(reaction.delayMillis());
@@ -97,13 +97,13 @@
 
   private void recordAttempt(HttpMessage request, String requestId, Behavior behavior) {
     long receivedAtNanos = System.nanoTime();
-    long timeoutMillis = Long.parseLong(request.header(MatchProtocol.TIMEOUT_MILLIS, "0"));
+    long timeoutMillis = Long.parseLong(request.header(ServiceProtocol.TIMEOUT_MILLIS, "0"));
     boolean provesNotExecuted = behavior == Behavior.REJECT;
     requests.addAttempt(
         requestId, new Attempt(id, receivedAtNanos, timeoutMillis, provesNotExecuted));
   }
 
-  /** Carries the behavior out; returns whether the connection can carry another request. */
+  /** Carries out the behavior and returns whether the connection can carry another request. */
   private static boolean react(Socket socket, Behavior behavior, String body)
       throws IOException, InterruptedException {
     OutputStream out = socket.getOutputStream();
@@ -111,7 +111,7 @@
       case RESPOND -> HttpMessage.write(out, HttpMessage.response(HttpMessage.STATUS_OK, "", body));
       case ERROR -> HttpMessage.write(out, HttpMessage.response(STATUS_ERROR, "", ""));
       case REJECT -> {
-        String notExecuted = MatchProtocol.NOT_EXECUTED + ": 1\r\n";
+        String notExecuted = ServiceProtocol.NOT_EXECUTED + ": 1\r\n";
         HttpMessage.write(out, HttpMessage.response(STATUS_REJECTED, notExecuted, ""));
       }
       case RESPOND_WITHOUT_LENGTH -> {
@@ -134,7 +134,7 @@
         return false;
       }
       case HANG -> {
-        // Until the node closes the connection or sends something unexpected.
+        // Returns when the node closes the connection or sends something unexpected.
         socket.getInputStream().read();
         return false;
       }
