--- a/emulator/src/main/c/faultshim.c
+++ b/emulator/src/main/c/faultshim.c
@@ -2,8 +2,8 @@
  * Injects faults into the system calls and the wall clock of the process that loads this library with LD_PRELOAD.
  *
  * FAULT_SHIM_CONTROL names a control file, which the emulator maps and writes while the process runs. It holds a
- * struct control in native byte order; merlinrouter.emulator.fleet.FaultShim knows the same layout. Without the
- * variable or the file nothing is injected. The monotonic clock is never changed.
+ * struct control in native byte order; merlinrouter.emulator.fleet.FaultShim uses the same layout. Without the
+ * variable or the file, no fault is injected. The monotonic clock is never changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -29,14 +29,14 @@
 enum fault { ACCEPT, SOCKET, CONNECT, EPOLL_WAIT, SHORT_READ, SHORT_WRITE, READ, WRITE, BIND, OPEN, FAULT_COUNT };
 
 struct fault_slot {
-  int64_t remaining; /* so many of the following calls fail; counted down */
-  int64_t interval;  /* if above 0, each call whose number is a multiple of this fails too */
-  int64_t parameter; /* the errno to fail with; for SHORT_READ and SHORT_WRITE the maximum of bytes that a call moves */
-  int64_t injected;  /* how many times the fault has been injected so far */
+  int64_t remaining; /* number of following calls that fail; decremented with each of them */
+  int64_t interval;  /* if above 0, each call whose number is a multiple of it also fails */
+  int64_t parameter; /* errno of failing calls; for SHORT_READ and SHORT_WRITE, the maximum number of bytes per call */
+  int64_t injected;  /* how many times the fault has been injected */
 };
 
 struct control {
-  int64_t wall_clock_offset_ns; /* added to the wall clock */
+  int64_t wall_clock_offset_ns; /* added to each reading of the wall clock */
   struct fault_slot slots[FAULT_COUNT];
 };
 
@@ -63,8 +63,8 @@
   return dlsym(RTLD_NEXT, name);
 }
 
-/* Counts a call and tells whether the fault is injected into it. */
-static int is_injected(enum fault fault) {
+/* Counts a call and returns whether the fault is injected into it; counts the injection too. */
+static int should_inject(enum fault fault) {
   if (control == NULL) {
     return 0;
   }
@@ -73,7 +73,7 @@
   int64_t interval = __atomic_load_n(&slot->interval, __ATOMIC_RELAXED);
   int injected = interval > 0 && call_number % interval == 0;
   if (!injected && __atomic_load_n(&slot->remaining, __ATOMIC_RELAXED) > 0) {
-    /* Another thread may have taken the last one since. */
+    /* Another thread may have used up the remaining failures since the check. */
     injected = __atomic_fetch_sub(&slot->remaining, 1, __ATOMIC_RELAXED) > 0;
   }
   if (injected) {
@@ -86,9 +86,9 @@
   return __atomic_load_n(&control->slots[fault].parameter, __ATOMIC_RELAXED);
 }
 
-/* Whether this call fails; sets errno if so. */
-static int fails(enum fault fault) {
-  if (!is_injected(fault)) {
+/* Counts a call and returns whether it fails; if so, sets errno. */
+static int call_fails(enum fault fault) {
+  if (!should_inject(fault)) {
     return 0;
   }
   errno = (int) parameter(fault);
@@ -102,61 +102,64 @@
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
-  return is_tcp(fd) && fails(ACCEPT) ? -1 : REAL(accept)(fd, address, length);
+  return is_tcp(fd) && call_fails(ACCEPT) ? -1 : REAL(accept)(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-  return is_tcp(fd) && fails(ACCEPT) ? -1 : REAL(accept4)(fd, address, length, flags);
+  return is_tcp(fd) && call_fails(ACCEPT) ? -1 : REAL(accept4)(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-  return (domain == AF_INET || domain == AF_INET6) && fails(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
+  return (domain == AF_INET || domain == AF_INET6) && call_fails(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-  return is_tcp(fd) && fails(CONNECT) ? -1 : REAL(connect)(fd, address, length);
+  return is_tcp(fd) && call_fails(CONNECT) ? -1 : REAL(connect)(fd, address, length);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
-  return is_tcp(fd) && fails(BIND) ? -1 : REAL(bind)(fd, address, length);
+  return is_tcp(fd) && call_fails(BIND) ? -1 : REAL(bind)(fd, address, length);
 }
 
-/* Only opening a configuration file fails: the JVM's own files are not under test. */
-static int is_configuration(const char *path) {
+/* Opening fails only for configuration files: the JVM's own files are not under test. */
+static int is_configuration_file(const char *path) {
   static const char suffix[] = ".json";
   size_t suffix_length = sizeof(suffix) - 1;
   size_t length = strlen(path);
   return length > suffix_length && strcmp(path + length - suffix_length, suffix) == 0;
 }
 
-/* The third argument of open, which callers pass only where a file may be created. */
-static mode_t mode_of(int flags, va_list arguments) {
+/* Returns the third argument of open, which callers pass only if the file may be created. */
+static mode_t open_mode(int flags, va_list arguments) {
   return flags & (O_CREAT | O_TMPFILE) ? (mode_t) va_arg(arguments, int) : 0;
 }
 
 int open(const char *path, int flags, ...) {
   va_list arguments;
   va_start(arguments, flags);
-  mode_t mode = mode_of(flags, arguments);
+  mode_t mode = open_mode(flags, arguments);
   va_end(arguments);
-  return is_configuration(path) && fails(OPEN) ? -1 : REAL(open)(path, flags, mode);
+  return is_configuration_file(path) && call_fails(OPEN) ? -1 : REAL(open)(path, flags, mode);
 }
 
 int open64(const char *path, int flags, ...) {
   va_list arguments;
   va_start(arguments, flags);
-  mode_t mode = mode_of(flags, arguments);
+  mode_t mode = open_mode(flags, arguments);
   va_end(arguments);
-  return is_configuration(path) && fails(OPEN) ? -1 : REAL(open64)(path, flags, mode);
+  return is_configuration_file(path) && call_fails(OPEN) ? -1 : REAL(open64)(path, flags, mode);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
-  return fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
+  return call_fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
-/* How many of length bytes this call moves; never 0, which would stand for the end of a stream. */
-static size_t limited(enum fault fault, size_t length) {
-  if (length < 2 || !is_injected(fault)) {
+/*
+ * Returns how many of length bytes this call transfers: all, or fewer if a short call is injected. It never shortens a
+ * call to 0 bytes, which would mean the end of a stream.
+ */
+static size_t limited_length(enum fault fault, size_t length) {
+  if (length < 2 || !should_inject(fault)) {
     return length;
   }
   size_t max_bytes = (size_t) parameter(fault);
@@ -167,25 +170,25 @@
   if (!is_tcp(fd)) {
     return REAL(read)(fd, bytes, length);
   }
-  return fails(READ) ? -1 : REAL(read)(fd, bytes, limited(SHORT_READ, length));
+  return call_fails(READ) ? -1 : REAL(read)(fd, bytes, limited_length(SHORT_READ, length));
 }
 
 ssize_t write(int fd, const void *bytes, size_t length) {
   if (!is_tcp(fd)) {
     return REAL(write)(fd, bytes, length);
   }
-  return fails(WRITE) ? -1 : REAL(write)(fd, bytes, limited(SHORT_WRITE, length));
+  return call_fails(WRITE) ? -1 : REAL(write)(fd, bytes, limited_length(SHORT_WRITE, length));
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
   if (!is_tcp(fd) || count < 1) {
     return REAL(writev)(fd, parts, count);
   }
-  if (fails(WRITE)) {
+  if (call_fails(WRITE)) {
     return -1;
   }
   size_t length = parts[0].iov_len;
-  size_t allowed = limited(SHORT_WRITE, length);
+  size_t allowed = limited_length(SHORT_WRITE, length);
   return allowed < length ? REAL(write)(fd, parts[0].iov_base, allowed) : REAL(writev)(fd, parts, count);
 }
 
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/Errno.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/Errno.java
@@ -1,6 +1,6 @@
 package merlinrouter.emulator.fleet;
 
-/** Error numbers of Linux with which system calls can be made to fail. */
+/** Linux error numbers that can be injected into system calls. */
 public enum Errno {
   /** A signal interrupted the call. */
   EINTR(4),
@@ -31,7 +31,7 @@
     this.number = number;
   }
 
-  /** The number as the system defines it. */
+  /** Returns the number as Linux defines it. */
   int number() {
     return number;
   }
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/FaultShim.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/FaultShim.java
@@ -15,7 +15,7 @@
 /**
  * Injects faults into the system calls and the wall clock of one process, through the preloaded
  * library {@code faultshim.c}. Both sides map the same control file, whose layout the library
- * describes.
+ * defines.
  */
 public final class FaultShim {
   /** The kinds of fault, in the order of the library's fault slots. */
@@ -42,12 +42,12 @@
     OPEN
   }
 
-  /** Index of the control file's value that is added to the wall clock, in nanoseconds. */
+  /** Index of the control file's wall clock offset, which is in nanoseconds. */
   private static final int WALL_CLOCK_OFFSET_INDEX = 0;
 
   private static final int FIRST_FAULT_INDEX = 1;
 
-  // The values of a fault's slot.
+  // Layout of a fault's slot: the number of its values and the index of each.
   private static final int VALUES_PER_FAULT = 4;
   private static final int REMAINING = 0;
   private static final int INTERVAL = 1;
@@ -59,7 +59,7 @@
   private final LongBuffer control;
 
   /**
-   * Compiles the library, unless the folder holds it already, and creates a control file.
+   * Compiles the library, unless the folder already contains it, and creates a control file.
    *
    * @param source the library's source
    * @param folder where both files are created
@@ -100,12 +100,12 @@
     Files.move(compiled, library, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** The environment variables that make a process load the library. */
+  /** Returns the environment variables that make a process load the library. */
   public Map<String, String> environment() {
     return Map.of("LD_PRELOAD", library.toString(), "FAULT_SHIM_CONTROL", controlFile.toString());
   }
 
-  /** Sets the wall clock off from the true time; the monotonic clock stays. */
+  /** Sets the wall clock's offset from the true time; the monotonic clock is unchanged. */
   public void setWallClockOffset(Duration offset) {
     control.put(WALL_CLOCK_OFFSET_INDEX, offset.toNanos());
   }
@@ -116,31 +116,31 @@
     control.put(slot(fault) + REMAINING, count);
   }
 
-  /** Makes one of each {@code interval} calls fail with an error. */
+  /** Makes every {@code interval}-th call fail with an error. */
   public void failEvery(Fault fault, long interval, Errno error) {
     control.put(slot(fault) + PARAMETER, error.number());
     control.put(slot(fault) + INTERVAL, interval);
   }
 
   /**
-   * Makes one of each {@code interval} calls move at most {@code maxBytes}.
+   * Makes every {@code interval}-th call transfer at most {@code maxBytes}.
    *
    * @param fault {@link Fault#SHORT_READ} or {@link Fault#SHORT_WRITE}
    */
   public void shortenEvery(Fault fault, long interval, int maxBytes) {
     if (fault != Fault.SHORT_READ && fault != Fault.SHORT_WRITE) {
-      throw new IllegalArgumentException(fault + " moves no bytes");
+      throw new IllegalArgumentException("expected SHORT_READ or SHORT_WRITE, not " + fault);
     }
     control.put(slot(fault) + PARAMETER, maxBytes);
     control.put(slot(fault) + INTERVAL, interval);
   }
 
-  /** Ends what {@link #failEvery} or {@link #shortenEvery} began. */
+  /** Stops a fault that {@link #failEvery} or {@link #shortenEvery} started. */
   public void stopPeriodic(Fault fault) {
     control.put(slot(fault) + INTERVAL, 0);
   }
 
-  /** How many times a fault has been injected so far. */
+  /** Returns how many times a fault has been injected so far. */
   public long injected(Fault fault) {
     return control.get(slot(fault) + INJECTED);
   }
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/Fleet.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/Fleet.java
@@ -17,12 +17,12 @@
 import merlinrouter.emulator.request.RequestRegistry;
 
 /**
- * Edge node processes with one discovery, one quota counter and some upstream servers. Each node
- * has a fault shim, each upstream server a proxy in front of it.
+ * Runs edge node processes with one discovery server, one quota counter and several upstream
+ * servers. Each node has a fault shim, and each upstream server has a proxy in front of it.
  */
 public final class Fleet implements AutoCloseable {
   /**
-   * A node with its faults.
+   * A node and the shim that injects its faults.
    *
    * @param name the node's name
    * @param process the node's process
@@ -31,13 +31,13 @@
    */
   public record Node(String name, NodeProcess process, FaultShim shim, NodeConfig config) {}
 
-  /** The program in a checkout that has been built. */
+  /** Path of the built program, relative to the root of its checkout. */
   public static final String PROGRAM = "target/merlinrouter.jar";
 
   private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
   private static final String SHIM_SOURCE = "emulator/src/main/c/faultshim.c";
 
-  /** A node that is alone is configured as one of two. */
+  /** A single node is configured as one of two gateways. */
   private static final int MIN_GATEWAY_COUNT = 2;
 
   private static final List<String> ZONES = List.of("a", "b");
@@ -57,7 +57,7 @@
    * Starts discovery and the counter.
    *
    * @param root the checkout with the built program
-   * @param folder where configuration and log files go; created if it does not exist
+   * @param folder receives configuration and log files; created if it does not exist
    */
   public Fleet(Path root, Path folder) throws IOException {
     this.root = root;
@@ -67,7 +67,7 @@
   /**
    * Starts an upstream server and publishes it as ready.
    *
-   * @param startedAtUnixMillis the start that discovery tells of; 0 for long ago
+   * @param startedAtUnixMillis start time in the endpoint list; 0 for a start long ago
    */
   public UpstreamServer addUpstream(UpstreamServer.Script script, long startedAtUnixMillis)
       throws IOException {
@@ -78,7 +78,7 @@
     return upstream;
   }
 
-  /** Publishes the state and the start of an upstream server. */
+  /** Publishes the state and the start time of an upstream server. */
   public void publish(
       UpstreamServer upstream, EndpointEntry.State state, long startedAtUnixMillis) {
     int number = upstreams.indexOf(upstream);
@@ -92,7 +92,7 @@
             startedAtUnixMillis));
   }
 
-  /** The network in front of an upstream server; nodes connect to the proxy's address. */
+  /** Returns the proxy in front of an upstream server; nodes connect to its address. */
   public FaultProxy proxy(UpstreamServer upstream) {
     return proxiesByEndpointId.get(upstream.id());
   }
@@ -105,8 +105,8 @@
   /**
    * Starts nodes and waits until all are ready.
    *
-   * @param initialFaults injects each node's faults before its start
-   * @throws IOException if a node does not become ready; the message holds its log
+   * @param initialFaults injects faults with each node's shim before the node starts
+   * @throws IOException if a node does not become ready; the message contains its log
    */
   public void startNodes(int count, Consumer<FaultShim> initialFaults)
       throws IOException, InterruptedException {
@@ -115,7 +115,12 @@
     }
     for (Node node : nodes) {
       if (!node.process().awaitReady(START_TIMEOUT)) {
-        throw new IOException(node.name() + " is not ready: " + node.process().log());
+        throw new IOException(
+            node.name()
+                + " has ended or was not ready within "
+                + START_TIMEOUT.toSeconds()
+                + " s: "
+                + node.process().log());
       }
     }
   }
@@ -140,15 +145,18 @@
     return new Node(name, process, shim, config);
   }
 
-  /** Starts a node's process again, which has ended, with the endpoint list as it last had it. */
+  /**
+   * Starts the process of a node again, which must have ended. Its configuration file contains the
+   * last endpoint list that it can have received.
+   */
   public void startAgain(Node node) throws IOException {
     configure(node, discovery.address());
     node.process().start();
   }
 
   /**
-   * Replaces a node's configuration file: discovery is at {@code discoveryAddress}, and the
-   * endpoint list is the one that the node can have received last.
+   * Replaces a node's configuration file. In the new one, discovery is at {@code discoveryAddress},
+   * and the endpoint list is the last one that the node can have received.
    */
   public void configure(Node node, String discoveryAddress) throws IOException {
     node.process()
@@ -158,32 +166,32 @@
                 .withKnownEndpoints(discovery.lastSentList()));
   }
 
-  /** Discovery. */
+  /** Returns the discovery server. */
   public DiscoveryServer discovery() {
     return discovery;
   }
 
-  /** Another {@code host:port} at which discovery is reached. */
+  /** Returns another {@code host:port} of the same discovery server. */
   public String secondDiscoveryAddress() {
     return secondDiscoveryAddress.address();
   }
 
-  /** The quota counter. */
+  /** Returns the quota counter. */
   public CounterServer counter() {
     return counter;
   }
 
-  /** All requests to the fleet's nodes. */
+  /** Returns all requests to the fleet's nodes. */
   public RequestRegistry requests() {
     return requests;
   }
 
-  /** All upstream servers in the order of their start. */
+  /** Returns all upstream servers in the order of their start. */
   public List<UpstreamServer> upstreams() {
     return List.copyOf(upstreams);
   }
 
-  /** All nodes by their numbers. */
+  /** Returns all nodes in the order of their numbers. */
   public List<Node> nodes() {
     return List.copyOf(nodes);
   }
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/LoopbackPorts.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/LoopbackPorts.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 
 /**
- * Hands out listening ports of nodes. They lie below the range that the system gives to outgoing
- * connections, so that a restarted node finds its port free.
+ * Reserves listening ports for nodes. The ports are below the ephemeral range, so that no outgoing
+ * connection takes the port of a node that is being restarted.
  */
 final class LoopbackPorts {
   private static final int FIRST_PORT = 20_000;
   private static final int LAST_PORT = 32_000;
 
-  /** Emulators that run at once begin their search at different ports. */
+  /** Number of possible first ports of a search; concurrent emulators start at different ones. */
   private static final int START_PORTS = 10_000;
 
   private static final Set<Integer> RESERVED = new HashSet<>();
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/NodeConfig.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/NodeConfig.java
@@ -5,11 +5,12 @@
 import java.io.IOException;
 
 /**
- * What a node's configuration file says beyond the {@link NodeTemplate}.
+ * The values of a node's configuration file that are added to the {@link NodeTemplate} or replaced
+ * in it.
  *
  * @param gatewayNumber the node's number among all gateways, from 0
  * @param gatewayCount how many gateways there are
- * @param port the loopback port that it listens on
+ * @param port the loopback port that the node listens on
  * @param discoveryAddress discovery's {@code host:port}
  * @param counterAddress the quota counter's {@code host:port}
  * @param knownEndpoints the endpoint list to start with, as JSON
@@ -23,7 +24,7 @@
     String knownEndpoints) {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Multiplied with a node's number to get its seed: 2^64 divided by the golden ratio. */
+  /** Seeds of consecutive nodes differ by this step: 2^64 divided by the golden ratio. */
   private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
 
   private static final String NAME = "name";
@@ -36,24 +37,24 @@
   private static final String GATEWAY_NUMBER = "my-number";
   private static final String GATEWAY_COUNT = "siblings";
 
-  /** The name of the node with a number. */
+  /** Returns the name of the node with the given number. */
   static String nodeName(int gatewayNumber) {
     return "n" + gatewayNumber;
   }
 
-  /** The same configuration with discovery at another {@code host:port}. */
+  /** Returns this configuration with discovery at another {@code host:port}. */
   public NodeConfig withDiscoveryAddress(String newDiscoveryAddress) {
     return new NodeConfig(
         gatewayNumber, gatewayCount, port, newDiscoveryAddress, counterAddress, knownEndpoints);
   }
 
-  /** The same configuration with another endpoint list to start with, as JSON. */
+  /** Returns this configuration with another endpoint list to start with, as JSON. */
   public NodeConfig withKnownEndpoints(String newKnownEndpoints) {
     return new NodeConfig(
         gatewayNumber, gatewayCount, port, discoveryAddress, counterAddress, newKnownEndpoints);
   }
 
-  /** The configuration file's text. */
+  /** Returns the text of the configuration file. */
   String toJson() throws IOException {
     ObjectNode root = NodeTemplate.copy();
     root.put(NAME, nodeName(gatewayNumber))
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/NodeProcess.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/NodeProcess.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import merlinrouter.emulator.peer.HttpMessage;
 
-/** One real edge node, started with the {@code run} command of {@code deploy/balancer.toml}. */
+/** An edge node process, started with the {@code run} command of {@code deploy/balancer.toml}. */
 public final class NodeProcess implements AutoCloseable {
-  /** Signals that a node is sent. */
+  /** Signals that can be sent to a node. */
   public enum Signal {
     /** Reloads the configuration. */
     HUP,
-    /** Begins a graceful shutdown. */
+    /** Starts a graceful shutdown. */
     TERM,
     /** Pauses the process. */
     STOP,
@@ -41,12 +41,12 @@
   private Process process;
 
   /**
-   * Prepares a node.
+   * Prepares a node without starting it.
    *
    * @param root the checkout with the built program
-   * @param folder where its configuration and log files are
-   * @param name names these files
-   * @param port the loopback port that it listens on
+   * @param folder contains its configuration and log files
+   * @param name base name of these files
+   * @param port the loopback port that the node listens on
    * @param environment further environment variables
    */
   public NodeProcess(
@@ -58,14 +58,14 @@
     logFile = folder.resolve(name + ".log");
   }
 
-  /** Replaces the configuration file; takes effect at the next start or reload. */
+  /** Replaces the configuration file, which takes effect at the next start or reload. */
   public void configure(NodeConfig config) throws IOException {
     Path replacement = Files.createTempFile(configFile.getParent(), "config", ".json");
     Files.writeString(replacement, config.toJson());
     Files.move(replacement, configFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Starts the process; it is not ready when this returns. */
+  /** Starts the process without waiting until it is ready. */
   public void start() throws IOException {
     ProcessBuilder builder =
         new ProcessBuilder("/bin/sh", "-c", runCommand())
@@ -86,7 +86,10 @@
     throw new IOException(DEPLOYMENT_FILE + " has no run command");
   }
 
-  /** Waits until the node's health check answers 200; false if it does not in time. */
+  /**
+   * Waits until the node's health check responds with 200. Returns false if the process ends first
+   * or the timeout expires.
+   */
   public boolean awaitReady(Duration timeout) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + timeout.toNanos();
     while (System.nanoTime() - deadlineNanos < 0 && process.isAlive()) {
@@ -110,32 +113,32 @@
     }
   }
 
-  /** Sends a signal. */
+  /** Sends a signal to the process. */
   public void signal(Signal signal) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Waits for the process to end; false if it does not in time. */
+  /** Waits for the process to end; returns false if it does not end within the timeout. */
   public boolean awaitExit(Duration timeout) throws InterruptedException {
     return process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Whether the process has not ended. */
+  /** Returns whether the process is running. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** The exit status of the process, which has ended. */
+  /** Returns the exit status of the process, which must have ended. */
   public int exitStatus() {
     return process.exitValue();
   }
 
-  /** The loopback port that the node listens on. */
+  /** Returns the loopback port that the node listens on. */
   public int port() {
     return port;
   }
 
-  /** What the process has written to its standard output and error so far. */
+  /** Returns what the process has written to its standard output and error so far. */
   public String log() throws IOException {
     return Files.exists(logFile) ? Files.readString(logFile) : "";
   }
--- a/emulator/src/main/java/merlinrouter/emulator/fleet/NodeTemplate.java
+++ b/emulator/src/main/java/merlinrouter/emulator/fleet/NodeTemplate.java
@@ -8,7 +8,7 @@
 import java.io.UncheckedIOException;
 import java.time.Duration;
 
-/** The template {@code node.json}, which all nodes' configuration files are made from. */
+/** The template {@code node.json}, from which the configuration files of all nodes are made. */
 public final class NodeTemplate {
   private static final String RESOURCE = "/node.json";
   private static final ObjectNode ROOT = read();
@@ -23,17 +23,17 @@
     }
   }
 
-  /** A copy of the template, to be changed by the caller. */
+  /** Returns a copy of the template, which the caller may change. */
   static ObjectNode copy() {
     return ROOT.deepCopy();
   }
 
-  /** How many file descriptors a node may use. */
+  /** Returns how many file descriptors a node may use. */
   public static int maxSockets() {
     return ROOT.path("limits").path("sockets").intValue();
   }
 
-  /** The longest deadline of the request classes. */
+  /** Returns the longest deadline of the request classes. */
   public static Duration longestDeadline() {
     long longestNanos = 0;
     for (JsonNode requestClass : ROOT.path("settings").path("classes")) {
