--- a/emulator/src/test/java/merlinrouter/emulator/AcceptFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/AcceptFaultTest.java
@@ -20,9 +20,9 @@
 import merlinrouter.emulator.request.RequestRecord;
 import org.junit.jupiter.api.Test;
 
-/** A node whose accepts fail. */
+/** Tests responses, forwarded timeouts and the shutdown of a node whose calls of accept fail. */
 class AcceptFaultTest extends NodeFaultTestBase {
-  /** Shorter than the pause that Netty makes after a failed accept (1 s). */
+  /** Shorter than Netty's pause after a failed accept (1 s). */
   private static final long SLOW_RESPONSE_MILLIS = 900;
 
   private static final Duration MAX_SHUTDOWN = Duration.ofSeconds(60);
@@ -54,7 +54,7 @@
 
   @Test
   void forwardedTimeoutExcludesTimeSpentWaitingForAccept() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately());
     assertServed(exchange(newClient(node), RequestClass.IDEMPOTENT));
     node.shim().failNext(Fault.ACCEPT, 60, Errno.EMFILE);
     RequestRecord request = exchange(newClient(node), RequestClass.IDEMPOTENT);
@@ -64,7 +64,7 @@
 
   @Test
   void gracefulShutdownServesConnectionsDelayedByFailedAccept() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately());
     assertServed(exchange(newClient(node), RequestClass.IDEMPOTENT));
     node.shim().failNext(Fault.ACCEPT, 1, Errno.ENFILE);
     List<Client> clients = new ArrayList<>();
--- a/emulator/src/test/java/merlinrouter/emulator/ConfigurationFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/ConfigurationFaultTest.java
@@ -11,7 +11,7 @@
 import merlinrouter.emulator.peer.DiscoveryServer;
 import org.junit.jupiter.api.Test;
 
-/** A node that cannot bind its port or open its configuration file for a moment. */
+/** Tests a node that temporarily cannot bind its port or open its configuration file. */
 class ConfigurationFaultTest extends NodeFaultTestBase {
   private static final int FAILURES = 2;
 
@@ -19,7 +19,7 @@
   void startRetriesFailedBindAndConfigurationRead() throws Exception {
     for (Errno error : List.of(Errno.EADDRINUSE, Errno.ENOBUFS)) {
       try (Fleet starting = new Fleet(ROOT, folder.resolve(error.name()))) {
-        starting.addUpstream(respondAtOnce(), 0);
+        starting.addUpstream(respondImmediately(), 0);
         starting.startNodes(
             1,
             shim -> {
@@ -35,7 +35,7 @@
 
   @Test
   void reloadRetriesFailedConfigurationRead() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately());
     for (Errno error : List.of(Errno.EMFILE, Errno.EIO)) {
       try (DiscoveryServer newDiscovery = new DiscoveryServer()) {
         node.process().configure(node.config().withDiscoveryAddress(newDiscovery.address()));
--- a/emulator/src/test/java/merlinrouter/emulator/ConnectFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/ConnectFaultTest.java
@@ -11,13 +11,13 @@
 import merlinrouter.emulator.request.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** A node that cannot open connections to its peers, by its own fault. */
+/** Tests a node that cannot open connections to its peers because of local failures. */
 class ConnectFaultTest extends NodeFaultTestBase {
   private static final int SOCKET_FAILURES = 24;
 
   @Test
   void attemptIsRetriedAfterLocalSocketFailure() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately());
     for (Errno error : List.of(Errno.ENFILE, Errno.EMFILE, Errno.ENOBUFS)) {
       failNextUpstreamConnection(node, Fault.SOCKET, error);
     }
@@ -25,19 +25,21 @@
 
   @Test
   void attemptIsRetriedAfterLocalConnectFailureAndEndpointIsNotEjected() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately());
     UpstreamServer upstream = fleet.upstreams().get(0);
     for (Errno error : List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS)) {
       failNextUpstreamConnection(node, Fault.CONNECT, error);
       String log = node.process().log();
-      // The node names an endpoint in its log only to say something against it.
+      // The node logs an endpoint's id only if its response was incomplete, if it became an
+      // outlier,
+      // or if it recovered.
       assertFalse(
           log.contains(upstream.id()),
-          error + ", the node's own failure, was taken for the endpoint's: " + log);
+          error + " is a local failure but was attributed to the endpoint: " + log);
     }
   }
 
-  /** Has the node's next connection to its only upstream server fail under a request. */
+  /** Makes the node's next connection to its only upstream server fail during a request. */
   private void failNextUpstreamConnection(Fleet.Node node, Fault fault, Errno error)
       throws Exception {
     // Opens the connections to the counter, so that the next one is to the upstream server.
@@ -49,7 +51,7 @@
 
   @Test
   void discoveryAndCounterReconnectAfterSocketFailures() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately());
     assertServed(exchange(newClient(node), RequestClass.IDEMPOTENT));
     node.shim().failNext(Fault.SOCKET, SOCKET_FAILURES, Errno.ENFILE);
     fleet.discovery().resetConnections();
@@ -58,14 +60,16 @@
     exchangeUntil(
         client,
         () -> node.shim().injected(Fault.SOCKET) == SOCKET_FAILURES,
-        "the node did not try to open so many sockets");
-    UpstreamServer added = fleet.addUpstream(respondAtOnce(), 0);
+        "the node tried to open fewer than " + SOCKET_FAILURES + " sockets");
+    UpstreamServer added = fleet.addUpstream(respondImmediately(), 0);
     long calls = fleet.counter().calls();
     exchangeUntil(
         client,
         () -> fleet.requests().attemptsAt(added.id()) > 0,
-        "the node did not learn of a new endpoint");
+        "the node forwarded no request to the new endpoint");
     exchangeUntil(
-        client, () -> fleet.counter().calls() > calls, "the node did not call the counter");
+        client,
+        () -> fleet.counter().calls() > calls,
+        "the node did not call the counter after the socket failures");
   }
 }
--- a/emulator/src/test/java/merlinrouter/emulator/ConnectionFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/ConnectionFaultTest.java
@@ -13,7 +13,10 @@
 import merlinrouter.emulator.request.RequestRecord;
 import org.junit.jupiter.api.Test;
 
-/** Reads and writes that are interrupted or partial, and connections that end in the middle. */
+/**
+ * Tests interrupted and partial reads and writes, and connections that are reset before a response
+ * without a length is complete.
+ */
 class ConnectionFaultTest extends NodeFaultTestBase {
   private static final int REQUESTS = 100;
   private static final int REQUESTS_WITHOUT_LENGTH = 40;
@@ -22,7 +25,7 @@
 
   @Test
   void interruptedWaitsAndPartialReadsAndWritesLoseNoRequest() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce(), respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately(), respondImmediately());
     node.shim().failEvery(Fault.EPOLL_WAIT, 3, Errno.EINTR);
     node.shim().shortenEvery(Fault.SHORT_READ, 2, MAX_SHORT_CALL_BYTES);
     node.shim().shortenEvery(Fault.SHORT_WRITE, 2, MAX_SHORT_CALL_BYTES);
@@ -31,15 +34,15 @@
 
   @Test
   void interruptedReadDoesNotEndConnection() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce(), respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately(), respondImmediately());
     node.shim().failEvery(Fault.READ, 5, Errno.EINTR);
     exchangeAllClasses(newClient(node), REQUESTS);
   }
 
-  /** Else a system that is short of buffers for a moment costs clients their responses. */
+  /** Without the retry, a temporary lack of buffers in the system costs clients their responses. */
   @Test
   void failedWriteOfResponseIsRetried() throws Exception {
-    Fleet.Node node = startNode(respondAtOnce(), respondAtOnce());
+    Fleet.Node node = startNode(respondImmediately(), respondImmediately());
     Client client = newClient(node);
     node.shim().failEvery(Fault.WRITE, 3, Errno.ENOBUFS);
     for (int i = 0; i < REQUESTS; i++) {
--- a/emulator/src/test/java/merlinrouter/emulator/NodeFaultTestBase.java
+++ b/emulator/src/test/java/merlinrouter/emulator/NodeFaultTestBase.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests of a real node process whose own system calls fail for a moment, which no request may
- * suffer from.
+ * Base class of tests of a real node process whose system calls fail temporarily, which must not
+ * affect any request.
  */
 @Timeout(NodeFaultTestBase.TEST_TIMEOUT_SECONDS)
 abstract class NodeFaultTestBase {
@@ -48,7 +48,7 @@
     fleet.close();
   }
 
-  /** Starts an upstream server for each script, and one node. */
+  /** Starts an upstream server for each script, and then one node, which it returns. */
   Fleet.Node startNode(UpstreamServer.Script... scripts) throws Exception {
     for (UpstreamServer.Script script : scripts) {
       fleet.addUpstream(script, 0);
@@ -57,24 +57,24 @@
     return fleet.nodes().get(0);
   }
 
-  /** The script of an upstream server that responds at once. */
-  static UpstreamServer.Script respondAtOnce() {
+  /** Returns the script of an upstream server that responds immediately. */
+  static UpstreamServer.Script respondImmediately() {
     return respondAfter(0);
   }
 
-  /** The script of an upstream server that responds after a delay. */
+  /** Returns the script of an upstream server that responds after a delay. */
   static UpstreamServer.Script respondAfter(long delayMillis) {
     return requestId -> new Reaction(Behavior.RESPOND, delayMillis);
   }
 
-  /** A request to the only node that has not been sent. */
+  /** Returns a new request to the only node, not yet sent. */
   RequestRecord newRequest(RequestClass requestClass) {
     return fleet
         .requests()
         .register(fleet.nodes().get(0).name(), requestClass, REQUEST_TIMEOUT_MILLIS);
   }
 
-  /** Sends a request and waits for its end. */
+  /** Sends a request and waits until it ends. */
   RequestRecord exchange(Client client, RequestClass requestClass) throws Exception {
     RequestRecord request = newRequest(requestClass);
     client.exchange(request);
@@ -89,18 +89,18 @@
     }
   }
 
-  /** Sends requests until a condition holds, which must be soon. */
+  /** Sends requests until a condition holds; fails if it does not after the maximum of polls. */
   void exchangeUntil(Client client, BooleanSupplier condition, String message) throws Exception {
     pollUntil(condition, () -> exchange(client, RequestClass.IDEMPOTENT));
     assertTrue(condition.getAsBoolean(), message);
   }
 
-  /** What is done before each look at a condition. */
+  /** An action between two checks of a condition. */
   interface Step {
     void run() throws Exception;
   }
 
-  /** Repeats a step until a condition holds or it has been done too often. */
+  /** Repeats a step until a condition holds or the maximum of polls is reached. */
   static void pollUntil(BooleanSupplier condition, Step step) throws Exception {
     for (int i = 0; i < MAX_POLLS && !condition.getAsBoolean(); i++) {
       step.run();
@@ -108,12 +108,12 @@
     }
   }
 
-  /** A new client of a node. */
+  /** Returns a new client of a node. */
   static Client newClient(Fleet.Node node) {
     return new Client(node.process().port());
   }
 
-  /** Asserts that a request got the response that an upstream server made for it. */
+  /** Asserts that a request received the response that an upstream server sent for it. */
   static void assertServed(RequestRecord request) {
     assertEquals(ClientOutcome.RESPONDED, request.outcome(), request.toString());
     assertEquals(STATUS_OK, request.status(), request.toString());
--- a/emulator/src/test/java/merlinrouter/emulator/SoakTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/SoakTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Short soak tests of some seeds, one of them with crowds of idle clients. */
+/** Runs a short soak test with each of several seeds, one of them with crowds of idle clients. */
 @Timeout(300)
 class SoakTest {
-  /** The seeds are 1 to 3. */
+  /** Number of seeds: 1 to 3. */
   private static final String SEEDS = "3";
 
   /** Allows for a machine that is busy with other work, unlike the option's default. */
@@ -39,6 +39,7 @@
                 "12",
                 "--own-delay-ms",
                 EMULATOR_DELAY_MILLIS);
-    assertEquals(0, status, "the violations and faults stand on standard output");
+    assertEquals(
+        0, status, "the soak test failed; see the violations and faults on standard output");
   }
 }
--- a/emulator/src/test/java/merlinrouter/emulator/WallClockStepTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/WallClockStepTest.java
@@ -12,7 +12,7 @@
 import merlinrouter.emulator.request.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** A node whose wall clock steps. */
+/** Tests a node whose wall clock steps, after which new endpoints must still get slow start. */
 class WallClockStepTest extends NodeFaultTestBase {
   private static final long RESPONSE_DELAY_MILLIS = 10;
   private static final int CLIENTS = 8;
@@ -26,7 +26,7 @@
     exchangeInParallel(node);
     for (Duration step : List.of(Duration.ofHours(-1), Duration.ofHours(1))) {
       node.shim().setWallClockOffset(step);
-      // Upstream servers announce their start by the same wall clock that the node reads.
+      // Upstream servers report their start time by the same wall clock that the node reads.
       UpstreamServer started =
           fleet.addUpstream(script, System.currentTimeMillis() + step.toMillis());
       exchangeInParallel(node);
@@ -46,14 +46,14 @@
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       Client client = newClient(node);
-      threads.add(BackgroundThreads.start("client", () -> exchangeInTurn(client)));
+      threads.add(BackgroundThreads.start("client", () -> exchangeSequentially(client)));
     }
     for (Thread thread : threads) {
       thread.join();
     }
   }
 
-  private void exchangeInTurn(Client client) throws InterruptedException {
+  private void exchangeSequentially(Client client) throws InterruptedException {
     for (int i = 0; i < REQUESTS / CLIENTS; i++) {
       client.exchange(newRequest(RequestClass.IDEMPOTENT));
     }
--- a/emulator/src/test/java/merlinrouter/emulator/fleet/NodeTemplateTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/fleet/NodeTemplateTest.java
@@ -6,16 +6,16 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** What the template of all nodes' configurations says. */
+/** Tests the template of all nodes' configurations. */
 class NodeTemplateTest {
   @Test
-  void limitsAndDeadlinesAreThoseOfTheFile() {
+  void limitsAndDeadlinesAreReadFromTheTemplate() {
     assertEquals(1_024, NodeTemplate.maxSockets());
     assertEquals(Duration.ofMillis(2_500), NodeTemplate.longestDeadline());
   }
 
   @Test
-  void aCopyMayBeChanged() {
+  void eachCopyIsANewObject() {
     assertNotSame(NodeTemplate.copy(), NodeTemplate.copy());
   }
 }
