--- a/emulator/src/main/java/merlinrouter/emulator/peer/Client.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/Client.java
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Returns whether the client has an open connection. */
+  /** Returns whether the client keeps a connection, which the node may have closed. */
   public boolean isConnected() {
     return socket != null;
   }
--- a/emulator/src/main/java/merlinrouter/emulator/peer/UpstreamServer.java
+++ b/emulator/src/main/java/merlinrouter/emulator/peer/UpstreamServer.java
@@ -17,7 +17,7 @@
     RESPOND_WITHOUT_LENGTH,
     /** Responds with 200 and no content length; a reset follows the body. */
     RESET_AFTER_BODY_WITHOUT_LENGTH,
-    /** Sends a part of a response with a content length, then closes the connection in order. */
+    /** Sends a part of a response with a content length, then closes without a reset. */
     TRUNCATE_RESPONSE,
     /** Resets the connection before any response. */
     RESET,
@@ -134,7 +134,7 @@
         return false;
       }
       case HANG -> {
-        // Returns when the node closes the connection or sends something unexpected.
+        // Blocks until the node closes the connection or sends something unexpected.
         socket.getInputStream().read();
         return false;
       }
