--- a/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
+++ b/src/main/java/merlinrouter/quota/CounterCallRateLimiter.java
@@ -57,7 +57,10 @@
   /** A rejected call counts as a call that took its whole timeout. */
   private static final double REJECTED_TIMEOUT_FRACTION = 1;
 
-  /** Capacity of the bucket: the calls of this time at the current rate. */
+  /**
+   * Capacity of the bucket: the calls of this time at the current rate, but at least {@link
+   * #MIN_CAPACITY_CALLS}.
+   */
   private static final long BURST_NANOS = Nanos.PER_SECOND / 4;
 
   /** Upper bound on the weight of an adjustment, which is otherwise the time since the last one. */
--- a/src/main/java/merlinrouter/quota/CounterCalls.java
+++ b/src/main/java/merlinrouter/quota/CounterCalls.java
@@ -11,7 +11,7 @@
 
 /** Tracks the calls to the shared counter that are in flight, and limits the rate of new ones. */
 final class CounterCalls {
-  /** A call is overdue after this many timeouts. */
+  /** A call is overdue after its timeout multiplied by this. */
   private static final int OVERDUE_TIMEOUTS = 2;
 
   private final Map<Long, ArrayDeque<CounterCall>> callsByKey = new LinkedHashMap<>();
--- a/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
+++ b/src/main/java/merlinrouter/quota/FleetQuotaEstimate.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Returns the projected rate of the other gateways. While the quota is divided, each is assumed
-   * to use its equal share of the rate.
+   * Returns the projected rate of the other gateways, at most the quota's rate. While the quota is
+   * divided, each is assumed to use its equal share of the rate.
    */
   private double projectedOthersRate() {
     if (divided) {
@@ -225,7 +225,10 @@
     return othersUnitsPerSecond * nanos * Nanos.IN_SECONDS;
   }
 
-  /** Returns when the last total was applied. */
+  /**
+   * Returns when the last total was applied; before the first one, a time two windows before the
+   * estimate was created.
+   */
   long totalAtNanos() {
     return totalAtNanos;
   }
--- a/src/main/java/merlinrouter/quota/HardLimitBucket.java
+++ b/src/main/java/merlinrouter/quota/HardLimitBucket.java
@@ -4,8 +4,9 @@
 
 /**
  * Token bucket of a customer's hard limit. The limit must hold independently of the other gateways,
- * so each gateway enforces its equal share of the rate and the burst. The bucket starts empty,
- * because a restarted gateway has no record of the units that it admitted before.
+ * so each gateway enforces its equal share of the rate and the burst. The bucket is empty at the
+ * start of the gateway, because a restarted gateway has no record of the units that it admitted
+ * before.
  */
 final class HardLimitBucket {
   private final double fleetUnitsPerSecond;
--- a/src/main/java/merlinrouter/quota/QuotaAccount.java
+++ b/src/main/java/merlinrouter/quota/QuotaAccount.java
@@ -19,7 +19,7 @@
   /** Interval between reports of use while at least half of the quota is left. */
   private static final long RELAXED_REPORT_INTERVAL_NANOS = Nanos.PER_SECOND;
 
-  /** Time for which an account is kept after its last use, in addition to two windows. */
+  /** Minimum time for which an idle account is kept, in addition to two windows. */
   private static final long RETENTION_NANOS = 30 * Nanos.PER_SECOND;
 
   /** Unreported use up to this amount is a rounding error and is not reported. */
@@ -37,14 +37,15 @@
   private static final int MIN_CALL_TIMEOUTS_LEFT = 2;
 
   /**
-   * Relative priority of a report: unreported use distorts the estimates of the other gateways as
-   * much as a missing total distorts this one's, but a report can wait.
+   * Priority of a report, as a fraction of that of a call for the customer's latest request:
+   * unreported use distorts the estimates of the other gateways as much as a missing total distorts
+   * this one's, but a report can wait.
    */
   private static final double REPORT_PRIORITY_FACTOR = 0.5;
 
   private final QuotaContext context;
   private final EventClock clock;
-  private final long key;
+  private final long customer;
   private final QuotaPlan plan;
   private final PlanUsage planUsage;
   private final int gateways;
@@ -66,15 +67,16 @@
     this.context = context;
     this.planUsage = planUsage;
     clock = context.clock();
-    key = firstRequest.customer();
+    customer = firstRequest.customer();
     plan = settings.quotaPlans().get(firstRequest.planIndex());
     gateways = Math.max(1, Math.min(firstRequest.gatewaySpread(), settings.gatewayCount()));
     sharesCounter = gateways > 1 && settings.counter().present();
     callPriority = new CounterCallPriority(plan, gateways, settings.gatewayCount());
     estimate =
         new FleetQuotaEstimate(
-            plan, gateways, settings.counter().maxRequestUnits(), hash(key), clock);
+            plan, gateways, settings.counter().maxRequestUnits(), hash(customer), clock);
     hardLimit = new HardLimitBucket(plan, gateways);
+    // The hard limit's bucket counts as empty at the start of the gateway and has refilled since.
     refilledAtNanos = context.startedAtNanos();
     // The first report is due at a random time: simultaneous reports would overload the counter.
     reportDueAtNanos = clock.nowNanos() + context.random().nextLong(REPORT_INTERVAL_NANOS);
@@ -90,9 +92,10 @@
   }
 
   /**
-   * Decides on a request. If the estimate is not recent enough, and both the latency objective and
-   * the rate limiter allow a call to the counter, the units are reported first and the decision is
-   * based on the counter's total; otherwise it is made immediately.
+   * Decides on a request. A request over the hard limit is rejected immediately. If the decision
+   * needs a newer total, and both the latency objective and the rate limiter allow a call to the
+   * counter, the units are reported first and the decision is based on the counter's total;
+   * otherwise it is made immediately.
    */
   void admit(QuotaReservation reservation) {
     refill();
@@ -149,8 +152,9 @@
   }
 
   /**
-   * Returns whether a request is a retry whose units exceed this gateway's share of the divided
-   * quota: it was rejected before, and only a total could show that the quota is unused.
+   * Returns whether the quota is divided and a request is a retry whose units exceed this gateway's
+   * equal share of the burst: it was rejected before, and only a total could show that the quota is
+   * unused.
    */
   private boolean isUnverifiableRetry(QuotaReservation reservation) {
     return estimate.isDivided()
@@ -188,7 +192,10 @@
     }
   }
 
-  /** Takes units from the quota and schedules their report; negative units are given back. */
+  /**
+   * Takes units from the quota and schedules their report; negative units are given back. Does
+   * nothing if the plan has no quota.
+   */
   void take(double units) {
     if (plan.unitsPerSecond() > 0) {
       planUsage.recordAdmitted(units);
@@ -227,7 +234,7 @@
         clock.nowNanos() + (quotaLow ? REPORT_INTERVAL_NANOS : RELAXED_REPORT_INTERVAL_NANOS);
     unreportedUnits = 0;
     callsInFlight++;
-    long counterKey = hash(hash(key) + window) >>> 1;
+    long counterKey = hash(hash(customer) + window) >>> 1;
     CounterCall call = new CounterCall(this, window, units, reservation, clock.nowNanos());
     context.calls().start(counterKey, call, 2 * estimate.windowNanos());
   }
@@ -251,7 +258,10 @@
     decideAfterCall(call, outcome == Outcome.OK);
   }
 
-  /** Decides on the request that waits for a call, unless it has been decided already. */
+  /**
+   * Decides on the request that waits for a call, unless it has been decided already. A request
+   * whose client has disconnected is only reported to the listener.
+   */
   void decideAfterCall(CounterCall call, boolean answered) {
     QuotaReservation reservation = call.reservation();
     if (reservation == null || !reservation.isAwaitingCounter()) {
