--- a/src/main/java/merlinrouter/gateway/GatewayActions.java
+++ b/src/main/java/merlinrouter/gateway/GatewayActions.java
@@ -1,8 +1,9 @@
 package merlinrouter.gateway;
 
 /**
- * Actions that a gateway requests from its host. They are called on the thread that delivers an
- * event, before the delivery returns. An action must not deliver an event before it returns.
+ * Actions that a gateway requests from its host. They are called on the thread that creates the
+ * gateway or delivers an event, before that call returns. An action must not deliver an event
+ * before it returns.
  */
 public interface GatewayActions {
   /**
--- a/src/main/java/merlinrouter/gateway/GatewayEvents.java
+++ b/src/main/java/merlinrouter/gateway/GatewayEvents.java
@@ -18,8 +18,9 @@
 
   /**
    * Reports a new request; exactly one final response is due unless the client disconnects. Hosts
-   * must not deliver a request with the id of an open one; the gateway ignores it, or rejects it if
-   * the client of the open request has disconnected before an attempt.
+   * must not deliver a request with the id of an open one, which the gateway ignores, unless the
+   * client of the open one has disconnected during its counter call: then the gateway rejects the
+   * new request.
    */
   void requestReceived(long nowNanos, ClientRequest request);
 
--- a/src/main/java/merlinrouter/gateway/RequestDispatcher.java
+++ b/src/main/java/merlinrouter/gateway/RequestDispatcher.java
@@ -75,7 +75,10 @@
     requestsById.put(pending.id(), pending);
   }
 
-  /** Queues an admitted request, sheds load from a long queue, and starts a due health check. */
+  /**
+   * Queues an admitted request, sheds load if the queue has become too long, and starts a health
+   * check if one is needed.
+   */
   void enqueue(PendingRequest pending) {
     pending.admitted(clock.nowNanos());
     pending.queue().add(pending);
@@ -90,7 +93,7 @@
     }
   }
 
-  /** Gives up each queued request that is too late to serve, wherever it is in its queue. */
+  /** Gives up queued requests that can no longer meet their objective, at any queue position. */
   void giveUpExpired() {
     for (ClassQueue<PendingRequest> queue : fairQueue.queues()) {
       if (queue.isEmpty()) {
--- a/src/main/java/merlinrouter/queue/LoadShedder.java
+++ b/src/main/java/merlinrouter/queue/LoadShedder.java
@@ -31,7 +31,10 @@
     this.concurrencyLimiter = concurrencyLimiter;
   }
 
-  /** Removes and returns the next request to shed from a queue; null if none is to be shed. */
+  /**
+   * Removes and returns the next request to shed from a queue; null if the queue is short enough or
+   * fewer attempts are in flight than the concurrency level permits.
+   */
   public R pollExcess(ClassQueue<R> queue) {
     if (!concurrencyLimiter.isSaturated() || queue.size() <= 1) {
       return null;
--- a/src/main/java/merlinrouter/retry/DeadlinePolicy.java
+++ b/src/main/java/merlinrouter/retry/DeadlinePolicy.java
@@ -13,10 +13,7 @@
   /** Time reserved for a first attempt, as a multiple of its expected service time. */
   private static final double SERVICE_TIME_MARGIN = 1.5;
 
-  /**
-   * Two, since a request that expires right after a check is, in the worst case, detected only at
-   * the second check after it.
-   */
+  /** One interval until the next check, and another in reserve because that check may be late. */
   private static final int TIMER_INTERVALS_NEEDED = 2;
 
   private static final long MIN_ATTEMPT_TIMEOUT_NANOS = Nanos.PER_MILLI;
--- a/src/main/java/merlinrouter/retry/RetryAfter.java
+++ b/src/main/java/merlinrouter/retry/RetryAfter.java
@@ -16,8 +16,8 @@
   }
 
   /**
-   * Converts a wait to nanoseconds, limited to the longest time that clients honour; 0 for no
-   * advice.
+   * Converts a wait to nanoseconds, limited to the longest time that clients honour. A result of 0
+   * states no time.
    */
   public long nanos(double seconds) {
     return (long) Math.max(0, Math.min(maxNanos, seconds * Nanos.PER_SECOND));
