--- a/src/main/java/merlinrouter/control/ConcurrencyController.java
+++ b/src/main/java/merlinrouter/control/ConcurrencyController.java
@@ -7,10 +7,10 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * Sets the concurrency level: how many attempts may be in flight at the same time. The level is
- * controlled by the 0.9 quantile of the service times of the class with the tightest latency
- * objective, up to a limit in proportion to the number of endpoints. At a level below 1 the gateway
- * pauses between attempts.
+ * Sets the concurrency level: how many attempts may be in flight at the same time. A feedback loop
+ * adjusts the level so that, in the class with the tightest latency objective, the 0.9 quantile of
+ * the service times meets the objective less the mean queueing time. The level is limited in
+ * proportion to the number of endpoints. At a level below 1 the gateway pauses between attempts.
  */
 public final class ConcurrencyController {
   /** Limit on attempts in flight per ready endpoint, summed over all gateways. */
@@ -72,7 +72,8 @@
 
   /**
    * Adapts the limit to the number of ready endpoints. The level is set to the new limit if it was
-   * at the old one or the model has no observations yet; otherwise it is only lowered to the limit.
+   * at the old one or the model has no observations yet; otherwise it is lowered to the new limit
+   * if it exceeds it.
    */
   public void endpointCountChanged(int readyEndpoints) {
     double previousLimit = limit;
@@ -161,8 +162,9 @@
 
   /**
    * Returns the effect of the relative level on inverse latency. More attempts in flight must
-   * increase latency, so the gain must be negative. Until the fitted gain is, the gain is derived
-   * from Little's law at constant throughput, by which latency is proportional to the level.
+   * increase latency, so the gain must be negative. If the fitted gain is not, or has too few
+   * observations, the gain is derived from Little's law at constant throughput, by which latency is
+   * proportional to the level.
    */
   private double levelGain(double inverseLatency, double relativeLevel) {
     double fitted = model.parameters(1, 2).get(0);
--- a/src/main/java/merlinrouter/control/ShareController.java
+++ b/src/main/java/merlinrouter/control/ShareController.java
@@ -33,7 +33,7 @@
   /** Weight of the latest interval in the moving average of the total throughput. */
   private static final double THROUGHPUT_WEIGHT = 0.2;
 
-  /** Number of observations, per class, from which on the model is used. */
+  /** Observations needed before the model is used, as a multiple of the number of classes. */
   private static final int MIN_OBSERVATIONS_PER_CLASS = 3;
 
   private static final double MIN_LATENCY_SUM_SECONDS = 1e-6;
--- a/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
+++ b/src/main/java/merlinrouter/loadbalancing/EndpointTracker.java
@@ -41,7 +41,7 @@
   /** Error value of a rejection, which indicates load rather than a fault. */
   private static final double REJECTION_ERROR = 0.5;
 
-  /** An endpoint with a higher error rate is an outlier. */
+  /** An endpoint with a higher error rate is logged as an outlier. */
   private static final double OUTLIER_ERROR_RATE = 0.5;
 
   private final EventClock clock;
--- a/src/main/java/merlinrouter/loadbalancing/SlowStart.java
+++ b/src/main/java/merlinrouter/loadbalancing/SlowStart.java
@@ -9,9 +9,10 @@
 
 /**
  * Limits the work that an endpoint receives while it is warming up. The limit applies to the sum
- * over all gateways, and no gateway has the rates of the others. Each gateway therefore forwards
- * requests at random, at the endpoint's capacity fraction of its own rate to a warm endpoint, and
- * does not accumulate unused capacity for a burst.
+ * over all gateways, but a gateway has no information about the rates of the others. Each gateway
+ * therefore limits its own rate to the endpoint: to the endpoint's capacity fraction of the rate to
+ * a warm endpoint. It selects requests at random, so that no unused capacity accumulates for a
+ * burst.
  */
 final class SlowStart {
   private final ServiceRules rules;
--- a/src/main/java/merlinrouter/model/Endpoint.java
+++ b/src/main/java/merlinrouter/model/Endpoint.java
@@ -4,8 +4,8 @@
  * An entry of the endpoint list.
  *
  * @param id its name, unique among all endpoints of the fleet
- * @param weight its capacity relative to other endpoints; ignored if the settings declare weights
- *     meaningless
+ * @param weight its capacity relative to other endpoints; taken as 1 if it is not positive, or if
+ *     the settings declare weights meaningless
  * @param zone index of its zone, -1 if unknown
  * @param cell number of its cell
  * @param machineType index of its machine type, -1 if unknown
--- a/src/main/java/merlinrouter/model/Outcome.java
+++ b/src/main/java/merlinrouter/model/Outcome.java
@@ -10,11 +10,11 @@
   REJECTED(true),
   /** No response within the timeout; the request may have been executed or counted. */
   TIMEOUT(false),
-  /** No connection was established within the timeout. */
+  /** Not sent completely: no connection was established in time, or it broke before. */
   CONNECT_FAILED(true),
   /** The connection broke; the request may have been executed. */
   RESET(false),
-  /** Cancelled by the gateway; the request may have been executed. */
+  /** Cancelled before its end; the request may have been executed. */
   CANCELLED(false),
   /** Never sent by the host. */
   NOT_SENT(true);
--- a/src/main/java/merlinrouter/settings/RequestLimits.java
+++ b/src/main/java/merlinrouter/settings/RequestLimits.java
@@ -6,7 +6,7 @@
  * @param maxAttempts maximum number of attempts per request
  * @param maxOpenRequests maximum number of open requests per gateway; read, not enforced
  * @param healthChecks whether active health checks of endpoints are allowed
- * @param retryAfter whether clients honour Retry-After; read, not used: it is always sent
+ * @param retryAfter whether clients honour Retry-After; read, not used: it is sent regardless
  * @param maxRetryAfterNanos the longest Retry-After time that clients honour
  * @param endpointSubscription whether updates of the endpoint list must be subscribed to
  * @param connectTimeoutNanos how long an attempt may wait for its connection
--- a/src/main/java/merlinrouter/time/package-info.java
+++ b/src/main/java/merlinrouter/time/package-info.java
@@ -1,2 +1,2 @@
-/** The clock and the time units of the decision modules. */
+/** The clock, time units and control intervals of the decision modules. */
 package merlinrouter.time;
