--- a/src/main/java/merlinrouter/node/counter/CounterClient.java
+++ b/src/main/java/merlinrouter/node/counter/CounterClient.java
@@ -10,8 +10,8 @@
 
 /**
  * Client of the shared counter that pipelines calls on a few connections. A counter's key
- * determines the connection, so that calls for one counter are executed and end in the order in
- * which they were started. Used on the event loop only.
+ * determines the connection, so that calls for one counter end in the order in which they were
+ * started; calls on one connection are also executed in that order. Used on the event loop only.
  */
 public final class CounterClient {
   private static final int SHARDS = 4;
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Adds an amount to a counter. The listener is notified when the call ends, but never from within
-   * this method.
+   * Adds an amount to a counter. The listener is notified when the call ends, which is never before
+   * this method returns; earlier calls may end within it if too many are open.
    *
    * @param counterKey key of the counter
    * @param amount units to add; a negative amount is subtracted
--- a/src/main/java/merlinrouter/node/counter/CounterResponse.java
+++ b/src/main/java/merlinrouter/node/counter/CounterResponse.java
@@ -25,7 +25,7 @@
     boolean keepAlive = HttpUtil.isKeepAlive(head);
     return switch (head.status().code()) {
       case STATUS_ADDED -> added(body, keepAlive);
-      // The counter sends these statuses before it adds anything.
+      // The counter sends these statuses only if it has added nothing.
       case STATUS_UNAVAILABLE, STATUS_BAD_REQUEST, STATUS_NOT_FOUND ->
           new CounterResponse(Outcome.REJECTED, 0, keepAlive);
       default -> new CounterResponse(Outcome.RESET, 0, false);
