--- a/src/main/java/merlinrouter/node/DeadlineMargin.java
+++ b/src/main/java/merlinrouter/node/DeadlineMargin.java
@@ -16,6 +16,7 @@
   /** The allowance for a stall is at most a quarter of the client's timeout. */
   private static final int MAX_STALL_DIVISOR = 4;
 
+  /** The gateway's deadline is at least this long after the arrival, however short the timeout. */
   private static final long MIN_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
   private final long stallNanos;
--- a/src/main/java/merlinrouter/node/EdgeNode.java
+++ b/src/main/java/merlinrouter/node/EdgeNode.java
@@ -79,7 +79,8 @@
   }
 
   /**
-   * Starts serving. Blocks until the listening socket is bound.
+   * Starts serving. Blocks until the listening socket is bound; never returns if a drain starts
+   * before that.
    *
    * @throws ExecutionException if the node cannot start
    * @throws InterruptedException if the thread is interrupted while it waits
@@ -124,8 +125,8 @@
   }
 
   /**
-   * Starts a graceful shutdown, in which all accepted requests get responses before the process may
-   * be killed. May be called on any thread.
+   * Starts a graceful shutdown. All accepted requests still get responses; requests received from
+   * now on have their deadlines before the process may be killed. May be called on any thread.
    *
    * @return a future that completes when no client connection is open any more
    */
@@ -219,7 +220,7 @@
     return clients.readingPausedCount();
   }
 
-  /** Returns whether the listening socket is bound. Called on the event loop only. */
+  /** Returns whether the listening socket has been bound. Called on the event loop only. */
   boolean isListening() {
     return clients.isListening();
   }
--- a/src/main/java/merlinrouter/node/GatewayHost.java
+++ b/src/main/java/merlinrouter/node/GatewayHost.java
@@ -304,7 +304,7 @@
 
   @Override
   public void startHealthCheck(String endpointId) {
-    // Not supported yet: load reports are used in the simulator only.
+    // Not supported yet: health checks only return load reports, which nodes do not read.
   }
 
   @Override
--- a/src/main/java/merlinrouter/node/NodeClock.java
+++ b/src/main/java/merlinrouter/node/NodeClock.java
@@ -3,8 +3,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clock that the gateway's decisions use: monotonic, in nanoseconds. At the start its time is
- * close to that of the wall clock, which nothing relies on.
+ * The clock that the gateway's decisions use: monotonic, in nanoseconds. It is set to the wall
+ * clock's time when it is created, and later steps of the wall clock do not change it. Gateways
+ * share a customer's total at the quota counter only while their clocks agree to well under a
+ * window (1 to 30 s), because the number of the window, which is part of the counter's key, is
+ * computed from this clock.
  */
 final class NodeClock {
   private final long offsetNanos = wallNanos() - System.nanoTime();
--- a/src/main/java/merlinrouter/node/ShutdownDeadline.java
+++ b/src/main/java/merlinrouter/node/ShutdownDeadline.java
@@ -5,9 +5,9 @@
 import merlinrouter.settings.RequestClass;
 
 /**
- * Limits deadlines during a graceful shutdown: the process may be killed when the longest deadline
- * of a request class and a margin have passed since SIGTERM, and requests that are open then get no
- * response.
+ * Limits the deadlines of requests that are received during a graceful shutdown: the process may be
+ * killed when the longest deadline of a request class and a margin have passed since SIGTERM, and
+ * requests that are open then get no response. Requests received earlier keep their deadlines.
  */
 final class ShutdownDeadline {
   /** If the longest deadline exceeds this, it counts as this. */
--- a/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
+++ b/src/main/java/merlinrouter/node/downstream/ArrivalTimes.java
@@ -8,7 +8,7 @@
  * pipelined request counts from its arrival. Byte offsets count from the connection's first byte.
  */
 final class ArrivalTimes {
-  /** A read within this interval of an earlier one is merged into it with its arrival time. */
+  /** A read less than this after the last recorded one is merged into it, and gets its time. */
   private static final long MERGE_INTERVAL_NANOS = 10 * Nanos.PER_MILLI;
 
   /** Maximum number of recorded reads; further ones are merged into the last. */
--- a/src/main/java/merlinrouter/node/downstream/ConnectionRegistry.java
+++ b/src/main/java/merlinrouter/node/downstream/ConnectionRegistry.java
@@ -153,7 +153,7 @@
     return drained == null;
   }
 
-  /** Closes all connections between requests. */
+  /** Closes all connections between requests on which no further request has arrived unread. */
   void closeIdleConnections(String reason) {
     for (TrackedConnection connection : List.copyOf(connections)) {
       if (connection.isBetweenRequests()) {
--- a/src/main/java/merlinrouter/node/downstream/ConnectionState.java
+++ b/src/main/java/merlinrouter/node/downstream/ConnectionState.java
@@ -10,7 +10,7 @@
 final class ConnectionState {
   /**
    * How long receiving a whole request may take: from the accept or, on a connection that has
-   * received one before, from the request's first byte.
+   * received one before, from the request's first byte and again from the end of its head.
    */
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
@@ -82,7 +82,7 @@
         && nowNanos - sinceNanos > IDLE_TIMEOUT_NANOS;
   }
 
-  /** Records that a request has been received in part. */
+  /** Records that the first bytes, or the whole head, of a request have been received. */
   void startReceiving() {
     receiving = true;
     if (receivedRequest) {
--- a/src/main/java/merlinrouter/node/downstream/RequestHandler.java
+++ b/src/main/java/merlinrouter/node/downstream/RequestHandler.java
@@ -35,7 +35,8 @@
 
   /**
    * Returns the deadline that the gateway applies to a request, which is earlier than the client's
-   * own by a margin for writing the response.
+   * own by a margin for writing the response, and during a graceful shutdown not later than the
+   * time by which all responses are due.
    *
    * @param arrivedAtNanos when the request arrived, by the gateway's clock
    * @param timeoutNanos how long its client waits from then on
--- a/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
+++ b/src/main/java/merlinrouter/node/downstream/TrackedConnection.java
@@ -16,15 +16,15 @@
 
   /**
    * Returns the time from which its timeouts count: that of the accept, until a whole request has
-   * been received; later that of the first byte of the request that is being received, or else that
-   * of the last response.
+   * been received; later the time at which the first byte, and then the whole head, of the request
+   * that is being received was read, or else that of the last response.
    */
   long stateSinceNanos();
 
   /** Returns whether it is currently not being read. */
   boolean isReadingPaused();
 
-  /** Closes it if it has been idle, or has been receiving one request, for too long. */
+  /** Closes it if it has been idle, closing or receiving one request for too long. */
   void enforceTimeouts();
 
   /**
--- a/src/main/java/merlinrouter/node/request/RequestTimeline.java
+++ b/src/main/java/merlinrouter/node/request/RequestTimeline.java
@@ -9,9 +9,9 @@
 public final class RequestTimeline {
   /** The stages of a request, in their usual order. */
   public enum Stage {
-    /** Its last byte was read. */
+    /** It was received as a whole, and its head was parsed. */
     READ,
-    /** It was admitted within its quota and limits, and added to the queue of its class. */
+    /** It was admitted, possibly over its quota, and added to the queue of its class. */
     ADMITTED,
     /** Its latest attempt was started. */
     ATTEMPT_STARTED,
@@ -63,7 +63,7 @@
     reachedAtNanos[stage.ordinal()] = atNanos;
   }
 
-  /** Returns the stages with their times in milliseconds since the arrival, for a log line. */
+  /** Returns the client's deadline and the stages, in ms since the arrival, for a log line. */
   public String describe() {
     StringBuilder text = new StringBuilder("client's deadline ");
     text.append(millisSinceArrival(clientDeadlineNanos)).append(" ms after the arrival");
--- a/src/main/java/merlinrouter/node/request/ResponseSink.java
+++ b/src/main/java/merlinrouter/node/request/ResponseSink.java
@@ -10,7 +10,7 @@
   /**
    * Sends a rejection, which promises that a retry is harmless.
    *
-   * @param retryAfterNanos time after which the client should retry; 0 for no advice
+   * @param retryAfterNanos time from now after which the client may retry; 0 for no advice
    */
   void rejected(long retryAfterNanos);
 
