--- a/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
+++ b/src/main/java/merlinrouter/node/discovery/DiscoveryClient.java
@@ -24,7 +24,8 @@
  * Watches the endpoint list for changes after the last revision received. By the rules of the
  * service, a node is considered notified of a change some time after discovery published it,
  * whether or not a watch was open. A watch that ends, falls silent or gets no response is therefore
- * replaced well within the time that is allowed for draining. Used on the event loop only.
+ * replaced early enough for the next one to deliver the change by then. Used on the event loop
+ * only.
  */
 public final class DiscoveryClient {
   /**
--- a/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
+++ b/src/main/java/merlinrouter/node/discovery/EndpointStartTimes.java
@@ -16,8 +16,8 @@
  */
 public final class EndpointStartTimes {
   /**
-   * Minimum change of the clock offset that is taken for a step. A smaller change is the slewing of
-   * a synchronized clock.
+   * Minimum change since the latest recorded clock offset that is taken for a step. Smaller changes
+   * are the slewing of a synchronized clock, but count as a step once they add up to this.
    */
   private static final long MIN_STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
--- a/src/main/java/merlinrouter/node/logging/NodeLog.java
+++ b/src/main/java/merlinrouter/node/logging/NodeLog.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * The node's log on standard output: event counts, written as one line per interval in which they
- * have changed, and separate lines for events that need more detail, such as a request id. Used on
- * the event loop only.
+ * The node's log on standard output: event counts since the start, written as one line per interval
+ * in which they have changed, and separate lines for events that need more detail, such as a
+ * request id. Used on the event loop only.
  */
 public final class NodeLog {
   /** The counted events; the log contains the names of these constants. */
@@ -28,7 +28,7 @@
     FAILED,
     /** The node closed a client connection without an open request: idle, evicted or shut down. */
     IDLE_CLOSED,
-    /** A request was refused before it reached the gateway: malformed, too slow or too large. */
+    /** A request did not reach the gateway, for example as malformed, too slow or too large. */
     BAD_REQUEST,
     /** An attempt's connection ended, or its response was malformed, before it was complete. */
     RESPONSE_INCOMPLETE,
--- a/src/main/java/merlinrouter/node/monitoring/EventLoopMonitor.java
+++ b/src/main/java/merlinrouter/node/monitoring/EventLoopMonitor.java
@@ -21,7 +21,7 @@
   /** Shorter stalls are not recorded: every turn that has work to do takes some time. */
   private static final long MIN_RECORDED_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  /** Interval of sampling the thread times, so that those logged with a stall are recent. */
+  /** Thread times are sampled again after this, so that those logged with a stall are recent. */
   private static final long THREAD_SAMPLE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
   /** How many stalls are kept for the log lines of the late responses that they delayed. */
