--- a/src/main/java/merlinrouter/node/http/ResponseHandler.java
+++ b/src/main/java/merlinrouter/node/http/ResponseHandler.java
@@ -17,8 +17,8 @@
 
 /**
  * Assembles a peer's responses and detects malformed ones as early as possible: a body length that
- * is too large, missing or given twice is detected in the head. Input after a malformed response is
- * ignored. Used on the event loop only.
+ * is too large, given twice or, unless {@link #acceptsResponseWithoutLength}, missing is detected
+ * in the head. Input after a malformed response is ignored. Used on the event loop only.
  */
 public abstract class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
   /** More 1xx responses than this before a final response count as a malformed response. */
--- a/src/main/java/merlinrouter/node/transport/TcpChannel.java
+++ b/src/main/java/merlinrouter/node/transport/TcpChannel.java
@@ -21,8 +21,8 @@
 public final class TcpChannel extends NioSocketChannel {
   private static final int END_OF_STREAM = -1;
 
-  /** After this many interrupted reads in a row, the read is left to the event loop's next poll. */
-  private static final int MAX_INTERRUPTED_READS = 16;
+  /** An interrupted read is repeated this many times, then left to the event loop's next poll. */
+  private static final int MAX_READ_RETRIES = 16;
 
   /** With {@link #WRITE_RETRY_DELAY_MILLIS} between them, 100 ms in total. */
   private static final int MAX_FAILED_WRITES = 20;
@@ -56,7 +56,7 @@
   @Override
   protected int doReadBytes(ByteBuf target) throws Exception {
     int bytesRead = super.doReadBytes(target);
-    for (int i = 0; bytesRead < END_OF_STREAM && i < MAX_INTERRUPTED_READS; i++) {
+    for (int i = 0; bytesRead < END_OF_STREAM && i < MAX_READ_RETRIES; i++) {
       bytesRead = super.doReadBytes(target);
     }
     if (bytesRead == END_OF_STREAM) {
--- a/src/main/java/merlinrouter/node/transport/Transport.java
+++ b/src/main/java/merlinrouter/node/transport/Transport.java
@@ -17,7 +17,7 @@
 
 /**
  * Creates bootstraps for the kind of socket that an address requires: TCP, or a Unix domain socket
- * for the JVM warm-up, which no other process can reach. Classifies failed connects.
+ * for the JVM warm-up, which cannot be reached over the network. Classifies failed connects.
  */
 public final class Transport {
   private Transport() {}
--- a/src/main/java/merlinrouter/node/upstream/Connector.java
+++ b/src/main/java/merlinrouter/node/upstream/Connector.java
@@ -20,7 +20,7 @@
  * <p>A connect that fails in this process, for example for lack of a file descriptor, is retried:
  * nothing was sent to the endpoint, and the failure is not the endpoint's. All connects of one
  * attempt together take no longer than the connect timeout, since the check of an idempotency key's
- * deduplication window assumes that an attempt reaches its endpoint within that time.
+ * deduplication window assumes that a retry is sent to its endpoint within that time.
  */
 final class Connector {
   /** Short compared to the connect timeout. */
--- a/src/main/java/merlinrouter/node/upstream/EndpointPools.java
+++ b/src/main/java/merlinrouter/node/upstream/EndpointPools.java
@@ -62,8 +62,8 @@
 
   /**
    * Returns the entry's endpoint, marked as removed if another endpoint started at its address
-   * later. If another one started there earlier, removes it and adds its removal to {@code
-   * changes}.
+   * later. If another one started there earlier or at the same time, removes that one and adds its
+   * removal to {@code changes}.
    */
   private Endpoint resolveAddressOwner(EndpointEntry entry, List<Endpoint> changes) {
     Endpoint endpoint = entry.endpoint();
--- a/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
+++ b/src/main/java/merlinrouter/node/upstream/UpstreamPool.java
@@ -73,7 +73,7 @@
    *
    * @param request the request to forward
    * @param endpointId the endpoint to forward it to
-   * @param timeoutNanos time after which the attempt ends
+   * @param timeoutNanos the attempt timeout, which also covers opening a connection
    */
   public void send(OpenRequest request, String endpointId, long timeoutNanos) {
     Attempt attempt = new Attempt(request, endpointId, timeoutNanos, listener);
--- a/src/main/java/merlinrouter/node/warmup/StubClients.java
+++ b/src/main/java/merlinrouter/node/warmup/StubClients.java
@@ -21,7 +21,7 @@
  * event loop only, except where a method says otherwise.
  */
 final class StubClients {
-  /** The gateway's controllers run once a second; a shorter warm-up would not compile them. */
+  /** The gateway's controllers run once a second; a shorter warm-up would not run them. */
   private static final long MIN_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_300);
 
   private final EventLoop loop;
@@ -32,7 +32,10 @@
   private int responses;
   private int served;
 
-  /** Creates clients that send requests until they have received at least {@code minResponses}. */
+  /**
+   * Creates clients that send requests until they have received at least {@code minResponses}
+   * together and the minimum duration has passed.
+   */
   StubClients(EventLoop loop, NodeConfig config, int minResponses) {
     this.loop = loop;
     this.minResponses = minResponses;
@@ -58,7 +61,10 @@
             });
   }
 
-  /** Returns a future that completes when enough responses were received or a connection failed. */
+  /**
+   * Returns a future that completes when enough responses were received or an open connection
+   * failed, and exceptionally if a connect failed; may be called on any thread.
+   */
   CompletableFuture<Void> finished() {
     return finished;
   }
--- a/src/main/java/merlinrouter/node/warmup/WarmUp.java
+++ b/src/main/java/merlinrouter/node/warmup/WarmUp.java
@@ -52,8 +52,9 @@
    * Warms up the JVM; blocks until this is done. A failure is reported on standard error.
    *
    * @param config configuration of the node that is to serve
-   * @param minRequests minimum number of requests to handle, unless the maximum time is reached
-   * @param maxMillis maximum time
+   * @param minRequests minimum number of requests to handle, unless the maximum time is reached or
+   *     a connection fails before
+   * @param maxMillis maximum time for handling requests, in milliseconds
    * @param parent where a temporary folder for the sockets is created
    * @return the number of requests that were served; 0 if the warm-up failed
    */
