--- a/emulator/src/main/java/merlinrouter/emulator/invariant/Invariant.java
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/Invariant.java
@@ -15,7 +15,7 @@
   OWN_RESPONSE_ONLY,
   /** No attempt is received more than 0.1 s after the request ended for its client. */
   NO_ATTEMPT_AFTER_END,
-  /** The timeout forwarded to an upstream server is within the client's remaining time. */
+  /** The forwarded timeout exceeds the client's remaining time by at most 0.15 s. */
   FORWARDED_TIMEOUT_WITHIN_DEADLINE,
   /** A non-idempotent request is not retried after an attempt that may have been executed. */
   NON_IDEMPOTENT_NOT_RETRIED,
--- a/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/merlinrouter/emulator/invariant/InvariantChecker.java
@@ -218,7 +218,8 @@
   /**
    * Checks a limit on the time at which an attempt was received.
    *
-   * @param excessNanos by how much the time exceeded the limit, before the allowance
+   * @param excessNanos by how much the time exceeded the limit, before the allowance for the
+   *     emulator's delay is subtracted
    */
   private void checkReceiptTime(
       Invariant invariant,
--- a/emulator/src/main/java/merlinrouter/emulator/request/RequestRecord.java
+++ b/emulator/src/main/java/merlinrouter/emulator/request/RequestRecord.java
@@ -114,13 +114,16 @@
     outcome = clientOutcome;
   }
 
-  /** Records an orderly close (FIN) of the connection by the node before a complete response. */
+  /** Records that the node closed the connection by a FIN before the first byte of a response. */
   public void endWithOrderlyClose() {
     orderlyClose = true;
     end(ClientOutcome.CONNECTION_CLOSED);
   }
 
-  /** Returns whether the node closed the connection by a FIN, not a reset, before a response. */
+  /**
+   * Returns whether the node closed the connection by a FIN, not a reset, before the first byte of
+   * a response.
+   */
   public boolean endedWithOrderlyClose() {
     return orderlyClose;
   }
