--- a/emulator/src/main/java/merlinrouter/emulator/soak/ClientTimeouts.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ClientTimeouts.java
@@ -11,10 +11,11 @@
   private final List<Long> fixedMillis;
 
   /**
-   * Creates a source of timeouts. Half of those that {@link #drawMillis} draws are fixed ones.
+   * Creates a source of timeouts.
    *
-   * @param fixedMillis the fixed timeouts in milliseconds; if empty, no random number is drawn to
-   *     choose between them and the others, so that each seed has its default draws
+   * @param fixedMillis the fixed timeouts in milliseconds, which are half of those that {@link
+   *     #drawMillis} draws. If empty, no random number is drawn to choose between them and the
+   *     others, so that each seed has its default draws.
    */
   ClientTimeouts(List<Long> fixedMillis) {
     this.fixedMillis = List.copyOf(fixedMillis);
--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultInjector.java
@@ -53,7 +53,7 @@
     this.log = log;
   }
 
-  /** Starts a fault and schedules its end. */
+  /** Starts a fault and schedules its end if the kind has a duration. */
   void inject(ScheduledFault fault) throws IOException, InterruptedException {
     Fleet.Node node = fleet.nodes().get(fault.selector() % fleet.nodes().size());
     SoakUpstreams.Upstream upstream = upstreams.pick(fault.selector());
--- a/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/FaultKind.java
@@ -8,19 +8,19 @@
  * order must stay, since it determines which faults a seed draws.
  */
 enum FaultKind {
-  /** A node's accepts fail. */
+  /** Some of a node's accepts fail. */
   ACCEPT_FAILS,
-  /** A node cannot create sockets. */
+  /** Some of a node's attempts to create a socket fail. */
   SOCKET_FAILS,
-  /** A node's connects fail locally, although the peer accepts connections. */
+  /** Some of a node's connects fail locally, although the peer accepts connections. */
   CONNECT_FAILS,
-  /** A node's reads and waits for events are interrupted by signals. */
+  /** Some of a node's reads and waits for events fail as if interrupted by a signal (EINTR). */
   READS_INTERRUPTED,
-  /** A node's reads and writes transfer only some of the bytes. */
+  /** Some of a node's reads and writes transfer only some of the bytes. */
   SHORT_CALLS,
   /** A node's wall clock steps by up to an hour. */
   CLOCK_STEPS,
-  /** A node's process is paused for a moment. */
+  /** A node's process is paused for 0.10 to 0.15 s. */
   NODE_HELD,
   /** A node reloads its configuration. */
   NODE_RELOADED,
@@ -36,7 +36,7 @@
   SERVER_RESETS,
   /** An upstream server truncates its responses. */
   SERVER_CUTS_SHORT,
-  /** An upstream server responds without a content length. */
+  /** An upstream server responds without a content length, then closes or resets. */
   SERVER_GIVES_NO_LENGTH,
   /** An upstream server resets all its connections at the same time. */
   SERVER_DROPS_CONNECTIONS,
--- a/emulator/src/main/java/merlinrouter/emulator/soak/NodeRestarter.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/NodeRestarter.java
@@ -17,7 +17,7 @@
   /** Limit on the time from a start to readiness, and from a kill to the end of the process. */
   private static final Duration PROCESS_TIMEOUT = Duration.ofSeconds(10);
 
-  /** No SIGHUP is sent before a node is ready, nor for this long afterwards. */
+  /** A restarted node gets no SIGHUP before it is ready, nor for this long afterwards. */
   private static final long RELOAD_DELAY_MILLIS = 1_000;
 
   /** How long the load balancer still opens connections after the SIGTERM of a plain restart. */
@@ -31,7 +31,7 @@
   private final List<NodeFault> nodeFaults;
   private final Set<String> restartingNodeNames = ConcurrentHashMap.newKeySet();
 
-  /** Nodes whose process has not been ready for a second yet. */
+  /** Restarted nodes that have not been ready for {@link #RELOAD_DELAY_MILLIS} yet. */
   private final Set<String> startingNodeNames = ConcurrentHashMap.newKeySet();
 
   /**
--- a/emulator/src/main/java/merlinrouter/emulator/soak/NodeTraffic.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/NodeTraffic.java
@@ -55,7 +55,8 @@
 
   /**
    * Sets whether clients may open connections. The emulated load balancer in front of the nodes
-   * opens no connections to a node from shortly after its SIGTERM until its next start.
+   * opens no connections to a node from its kill, or from shortly after its SIGTERM, until it is
+   * ready again.
    */
   void setNewConnectionsAllowed(boolean newConnectionsAllowed) {
     this.newConnectionsAllowed = newConnectionsAllowed;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/ProcessFaultInjector.java
@@ -16,7 +16,7 @@
   private static final long MIN_PAUSE_MILLIS = 200;
   private static final long MAX_PAUSE_MILLIS = 1_500;
 
-  /** Clients open new connections at least this long after SIGTERM. */
+  /** Clients may still open connections for at least this long after SIGTERM. */
   private static final long MIN_LOAD_BALANCER_DELAY_MILLIS = 200;
 
   private static final long MAX_LOAD_BALANCER_DELAY_MILLIS = 400;
@@ -29,9 +29,7 @@
   private static final int MAX_NEIGHBORS = 4;
   private static final long MAX_NEIGHBOR_GAP_MILLIS = 800;
 
-  /**
-   * Idle clients connect this long before an outage of discovery and disconnect this long after.
-   */
+  /** Time that idle clients are connected before an outage of discovery, and after its end. */
   private static final long IDLE_CLIENT_MARGIN_MILLIS = 400;
 
   private static final long MIN_OUTAGE_MILLIS = 500;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SignalSeries.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SignalSeries.java
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Draws a series that starts a graceful shutdown: two or more SIGTERMs, an optional SIGHUP
-   * immediately before and another one after the first SIGTERM, and an optional pause of the
-   * process.
+   * Draws a series that starts a graceful shutdown: a SIGTERM with an optional SIGHUP immediately
+   * before it and an optional one immediately after it, an optional pause of the process, and one
+   * or more further SIGTERMs.
    */
   static SignalSeries drawTermination(SplittableRandom random) {
     List<Step> steps = new ArrayList<>();
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakCommand.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakCommand.java
@@ -30,8 +30,9 @@
       "Runs real node processes under steady traffic, injects overlapping random faults and checks"
           + " every request against the service's invariants.",
       "Exit status: 0 if all seeds passed, 1 if an invariant was violated, a node process failed or"
-          + " an attempt carried an unknown id, 2 for a bad command line, 3 if no seed failed but"
-          + " the emulator itself was late for more than 1 in 100 requests of a seed."
+          + " an attempt carried an unknown id, 2 for a bad command line, 3 if no seed failed but,"
+          + " since the emulator itself was late, more than 1 in 100 requests of a seed were"
+          + " inconclusive."
     })
 public final class SoakCommand implements Callable<Integer> {
   private static final int EXIT_PASSED = 0;
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakSettings.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakSettings.java
@@ -25,7 +25,7 @@
     List<FaultKind> kinds,
     ClientTimeouts clientTimeouts,
     boolean hard) {
-  /** Time from the longest deadline after SIGTERM until a node may be killed. */
+  /** A node may be killed when the longest deadline and this time have passed since SIGTERM. */
   private static final Duration KILL_MARGIN = Duration.ofMillis(700);
 
   /** Longest deadline assumed for the kill, unless a hard run's configured one is shorter. */
--- a/emulator/src/main/java/merlinrouter/emulator/soak/SoakUpstreams.java
+++ b/emulator/src/main/java/merlinrouter/emulator/soak/SoakUpstreams.java
@@ -62,7 +62,7 @@
     return ready.get(selector % ready.size());
   }
 
-  /** Drains a server and starts a new one, unless no other server would be ready. */
+  /** Drains a server and starts a new one, unless it is the only one that is not draining. */
   void replace(Upstream old) throws IOException {
     if (ready.size() == 1) {
       return;
