--- a/src/main/java/merlinrouter/time/EventClock.java
+++ b/src/main/java/merlinrouter/time/EventClock.java
@@ -7,7 +7,10 @@
 public final class EventClock {
   private long nowNanos;
 
-  /** Creates a clock set to a time, in nanoseconds from an arbitrary origin. */
+  /**
+   * Creates a clock set to a time in nanoseconds, whose origin must be the same for all gateways
+   * that share a quota counter, since the counter's windows are numbered from this clock.
+   */
   public EventClock(long nowNanos) {
     this.nowNanos = nowNanos;
   }
