--- a/src/test/java/merlinrouter/node/EdgeNodeTest.java
+++ b/src/test/java/merlinrouter/node/EdgeNodeTest.java
@@ -90,7 +90,7 @@
             "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
             "",
-            "HTTP/1.1 200 OK\r\n\r\nno length")) {
+            "HTTP/1.1 200 OK\r\n\r\nno end told")) {
       ScriptedServer server =
           startServer(
               request -> {
@@ -125,7 +125,10 @@
     assertEquals(0, node.loop().submit(node::usedRequestBytes).get());
   }
 
-  /** The response is written before the client's timeout, and the attempt ends. */
+  /**
+   * Guards against an attempt that never ends: its client would get no response, and its connection
+   * would stay open.
+   */
   @Test
   void silentEndpointTimesOutAndItsConnectionIsClosed() throws Exception {
     ScriptedServer server = startServer(request -> {});
