--- a/src/test/java/merlinrouter/node/AttemptRaceTest.java
+++ b/src/test/java/merlinrouter/node/AttemptRaceTest.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Idle connections are swept once a second; the endpoint may close this one long before the next
-   * sweep.
+   * The endpoint closes idle connections after 400 ms, so one may be reused for 200 ms. The sweep
+   * of idle connections, once a second, is too late for that.
    */
   @Test
   void connectionIdleForTooLongIsNotUsedBeforeTheSweep() throws Exception {
--- a/src/test/java/merlinrouter/node/ClientRaceTest.java
+++ b/src/test/java/merlinrouter/node/ClientRaceTest.java
@@ -108,8 +108,8 @@
 
   /**
    * After the disconnect, the gateway keeps the first request until its counter call ends, while
-   * the host no longer has it and passes the second one on. The gateway must not ignore that one as
-   * a duplicate.
+   * the host no longer has it and passes the second one on. The gateway must reject that one, not
+   * ignore it as a duplicate.
    */
   @Test
   void requestSentAgainDuringCounterCallOfItsFirstSendingGetsResponse() throws Exception {
--- a/src/test/java/merlinrouter/node/CounterClientTest.java
+++ b/src/test/java/merlinrouter/node/CounterClientTest.java
@@ -150,7 +150,10 @@
     assertTrue(counter.received.isEmpty(), "calls after the move must go to the new address");
   }
 
-  /** At the maximum, the open calls end in the order in which they were added. */
+  /**
+   * A call beyond the 256 open calls of a connection closes it. The earlier calls must end in the
+   * order in which they were added, and before the call that exceeds the maximum.
+   */
   @Test
   void openCallsEndInOrderAtTheirMaximumNumber() throws Exception {
     counterScript = request -> {};
--- a/src/test/java/merlinrouter/node/DeadlineRaceTest.java
+++ b/src/test/java/merlinrouter/node/DeadlineRaceTest.java
@@ -106,7 +106,11 @@
     long leftMillis = leftMillis(node, earliestArrivalNanos);
     assertTrue(
         forwardedMillis >= leftMillis,
-        "forwarded a timeout of " + forwardedMillis + " ms, " + leftMillis + " ms were left");
+        "forwarded a timeout of "
+            + forwardedMillis
+            + " ms, at least "
+            + leftMillis
+            + " ms were left");
   }
 
   /**
@@ -261,7 +265,7 @@
             + minMillis
             + " ms after the stall, at most "
             + maxMillis
-            + " ms were left");
+            + " ms allowed");
   }
 
   /** After a stall, an overdue response is not delayed further by events that arrived during it. */
--- a/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
+++ b/src/test/java/merlinrouter/node/DiscoveryWatchTest.java
@@ -89,8 +89,8 @@
   }
 
   /**
-   * The backoff must stay below the 1 s that is allowed for draining, since the agent responds
-   * immediately.
+   * The local agent that pushes the list responds immediately, so after its restart only the
+   * backoff delays a change. The backoff must stay below the 1 s that is allowed for draining.
    */
   @Test
   void afterManyFailuresAWatchIsReopenedWithinTheDrainingSecond() throws Exception {
@@ -125,7 +125,8 @@
 
   /**
    * An update counts as delivered 6 s after discovery published it, also where the list must be
-   * subscribed to. Here six watches end, one falls silent, and the next one gets no response.
+   * subscribed to. Here six watches end, one falls silent, and the next one gets no response, so a
+   * ninth must be opened within these 6 s.
    */
   @Test
   void aSubscribedListIsPolledWithin6SecondsThoughWatchesFailAndFallSilent() throws Exception {
--- a/src/test/java/merlinrouter/node/MisbehavingClientTest.java
+++ b/src/test/java/merlinrouter/node/MisbehavingClientTest.java
@@ -162,7 +162,7 @@
       assertTrue(Set.of("200", "502").contains(status(response)), response.startLine());
       assertTrue(
           i > 0 || status(response).equals("200"),
-          "the first request was forwarded while its client was known to be connected");
+          "the first request must get 200: its client was known to be connected");
     }
     written.join();
     // Everything is read now, so the client is known to be connected again.
--- a/src/test/java/merlinrouter/node/NodeProcess.java
+++ b/src/test/java/merlinrouter/node/NodeProcess.java
@@ -156,7 +156,9 @@
   /** Sends SIGTERM and returns the exit status. */
   int terminate() throws InterruptedException {
     process.destroy();
-    assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "SIGTERM had no effect");
+    assertTrue(
+        process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+        "the process did not exit within " + EXIT_TIMEOUT_SECONDS + " s of SIGTERM");
     return process.exitValue();
   }
 
--- a/src/test/java/merlinrouter/node/ShutdownRaceTest.java
+++ b/src/test/java/merlinrouter/node/ShutdownRaceTest.java
@@ -87,7 +87,10 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** A poll accepts 16 connections; the ones still in the backlog must not be closed unread. */
+  /**
+   * By default, a poll accepts 16 connections. Those still in the backlog must not be closed unread
+   * when the grace period ends.
+   */
   @Test
   void allClientsConnectedBeforeTheGracePeriodEndsGetResponses() throws Exception {
     EdgeNode node = startNode(startOkServer("x"));
@@ -113,7 +116,10 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** Otherwise a slowly sent request is open when the process is killed, and gets no response. */
+  /**
+   * Guards against a request that is sent so slowly during a drain that it is still open when the
+   * process is killed: it would get no response.
+   */
   @Test
   void requestCompletedDuringShutdownIsAnsweredBeforeTheProcessMayBeKilled() throws Exception {
     EdgeNode node = startNode(startOkServer("x", new CompletableFuture<>()));
@@ -137,7 +143,8 @@
   }
 
   /**
-   * The decoder no longer buffers these bytes, because it parses each line of a head immediately.
+   * Guards against a drain that closes the connection as idle: the decoder no longer buffers these
+   * bytes, because it parses each line of a head immediately.
    */
   @Test
   void drainDoesNotCloseConnectionThatHasReceivedTheFirstLineOfRequest() throws Exception {
@@ -156,7 +163,10 @@
     drained.get(60, TimeUnit.SECONDS);
   }
 
-  /** The operating system may queue one connection more than the requested backlog. */
+  /**
+   * The operating system may queue one connection more than the requested backlog. That one must be
+   * accepted too before the listening socket is closed, which would reset it.
+   */
   @Test
   void drainServesFullBacklog() throws Exception {
     int backlog = 512;
--- a/src/test/java/merlinrouter/node/UpstreamConnectionLimitTest.java
+++ b/src/test/java/merlinrouter/node/UpstreamConnectionLimitTest.java
@@ -12,7 +12,7 @@
 /** Tests the limit of a node's connections to endpoints. */
 @Timeout(120)
 class UpstreamConnectionLimitTest extends EventLoopFixture {
-  /** The smallest limit of connections to endpoints, which applies at this many sockets. */
+  /** The smallest limit of connections to endpoints; applies at this many sockets or fewer. */
   private static final int MAX_CONNECTIONS = 16;
 
   private static final int ROUNDS = 4;
--- a/src/test/java/merlinrouter/node/downstream/ArrivalTimesTest.java
+++ b/src/test/java/merlinrouter/node/downstream/ArrivalTimesTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void readsLessThan10MsApartTakeTheArrivalTimeOfTheFirst() {
+  void readsLessThan10MsAfterARecordedOneTakeItsArrivalTime() {
     times.add(10, 0);
     times.add(10, 9 * MS);
     times.add(10, 10 * MS);
@@ -50,7 +50,7 @@
     assertEquals(63 * 20 * MS, arrivalOfNextByteWithUndecoded(1));
   }
 
-  /** Returns the arrival time of the next byte once all but some received bytes are decoded. */
+  /** Decodes all but the given number of bytes; returns the arrival time of the next byte. */
   private long arrivalOfNextByteWithUndecoded(int undecodedBytes) {
     times.removeDecoded(undecodedBytes);
     return times.nextByteArrivedNanos();
--- a/src/test/java/merlinrouter/node/downstream/RequestParserTest.java
+++ b/src/test/java/merlinrouter/node/downstream/RequestParserTest.java
@@ -59,7 +59,7 @@
         1);
   }
 
-  /** A valid request of the class that requires an idempotency key. */
+  /** Returns a valid request of the class that requires an idempotency key. */
   private static HttpRequest order() {
     HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api?slot=4");
     head.headers()
