--- a/src/test/java/merlinrouter/node/NodeProcess.java
+++ b/src/test/java/merlinrouter/node/NodeProcess.java
@@ -28,7 +28,8 @@
 
   static final String WARMED_UP = "warmed up with ";
   static final String RELOAD_POSTPONED = "configuration reload postponed";
-  static final String RELOAD_FAILED = "configuration reload failed";
+  static final String RELOAD_FAILED =
+      "configuration reload failed, the previous configuration stays in effect";
 
   static final String HANGUP_IGNORED = "SIGHUP is ignored";
 
