--- a/src/test/java/merlinrouter/control/ShareControllerTest.java
+++ b/src/test/java/merlinrouter/control/ShareControllerTest.java
@@ -53,7 +53,8 @@
       runIntervals(2);
       double[] shares = controller.shares();
       assertEquals(1, Arrays.stream(shares).sum(), 1e-9);
-      // Shares are scaled after clipping, so the smallest may be somewhat below MIN_SHARE.
+      // Shares are clipped to [MIN_SHARE, 1] and then scaled to sum 1. Before scaling, the sum of
+      // the four shares is at most 4, so the smallest may fall to nearly MIN_SHARE / 4.
       assertTrue(Arrays.stream(shares).min().orElse(0) > ShareController.MIN_SHARE / 4);
     }
   }
--- a/src/test/java/merlinrouter/gateway/ConcurrencyLevelTest.java
+++ b/src/test/java/merlinrouter/gateway/ConcurrencyLevelTest.java
@@ -21,7 +21,7 @@
       assertEquals(
           1, host.attempts.size(), "two attempts of each gateway would overload 20 endpoints");
       host.endAttempt(first, Outcome.OK);
-      // The level of each of 240 gateways is 0.5: it pauses for 20 ms after an attempt of 20 ms.
+      // Each of 240 gateways has a level of 0.5, so it pauses for 20 ms after an attempt of 20 ms.
       assertEquals(gatewayCount == 100 ? 2 : 1, host.attempts.size());
       host.advance(30 * PER_MILLI);
       assertEquals(2, host.attempts.size());
@@ -53,7 +53,10 @@
     assertEquals(24, host.attempts.size() - before, "six for each endpoint");
   }
 
-  /** Ten responses per second at one gateway are too few for a meaningful 90th percentile. */
+  /**
+   * Ten responses per second at one gateway are too few for a meaningful 0.9 quantile: two timeouts
+   * among them would determine it.
+   */
   @Test
   void twoTimeoutsAmongTenResponsesDoNotLowerTheLevel() {
     SimulatedHost host = new SimulatedHost(UNLIMITED, 14, 0).withEndpoints(60);
--- a/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
+++ b/src/test/java/merlinrouter/gateway/CounterCallRateTest.java
@@ -29,7 +29,8 @@
       maxCalls = Math.max(maxCalls, calls.size());
       calls.forEach(call -> host.endCounterCall(call, Outcome.REJECTED, 0));
     }
-    assertTrue(maxCalls >= 1 && maxCalls <= 2, "most calls in one tick: " + maxCalls);
+    assertTrue(
+        maxCalls >= 1 && maxCalls <= 2, "most calls in one tick, 1 or 2 expected: " + maxCalls);
   }
 
   @Test
@@ -37,10 +38,11 @@
     SimulatedHost host = new SimulatedHost(quota(10, 30), 300, 0).withEndpoints(20);
     int[] callsByUnits = new int[5];
     for (int tick = 0; tick < 2000; tick++) {
-      // Each customer sends one request, alternately of 1 and 4 units; few get a call.
+      // Each request is of another customer, alternately of 1 and 4 units. An answer takes up to
+      // 20 ms, close to the 25 ms at which the limiter keeps its rate. The rate therefore rises
+      // slowly, and fewer than half of the 50 requests per second get a call.
       int units = tick % 2 == 0 ? 1 : 4;
       String id = host.request(IDEMPOTENT, 0, tick, units, host.nowNanos + 3 * PER_SECOND);
-      // Every answer is slow, so the rate stays low.
       host.advance(20 * PER_MILLI);
       for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
         callsByUnits[(int) Math.max(0, call.units())]++;
@@ -52,7 +54,10 @@
         callsByUnits[4] > 2 * callsByUnits[1], "calls by units: " + Arrays.toString(callsByUnits));
   }
 
-  /** The gateways of a fleet share the rate that the counter can sustain, from their start on. */
+  /**
+   * All gateways of a fleet may start together. If the initial rate of each did not depend on their
+   * number, a large fleet would overload the counter.
+   */
   @Test
   void theInitialRateIsDividedAmongTheGateways() {
     assertTrue(callsInFirstSecond(2) >= 20);
@@ -135,7 +140,7 @@
       // Five customers send requests repeatedly; the others are unknown and need a total.
       long customer = tick % 4 == 0 ? tick % 10 : 100 + tick;
       host.request(IDEMPOTENT, 0, customer, 1, host.nowNanos + 900 * PER_MILLI);
-      // As late as the answers of a counter at its optimal load.
+      // An answer takes 20 ms, close to the 25 ms at which the limiter keeps its rate.
       host.nowNanos += 20 * PER_MILLI;
       for (SimulatedHost.CounterCall call : host.takeCounterCalls()) {
         reportedUnits += call.units();
--- a/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
+++ b/src/test/java/merlinrouter/gateway/FleetSlowStartTest.java
@@ -150,11 +150,11 @@
         assertTrue(
             requests <= maxRequests + 2 * Math.sqrt(maxRequests) + 2,
             requests
-                + " requests in a window, max without overload "
+                + " requests in an overload window, "
                 + maxRequests
-                + ", "
+                + " possible without overload, window starts at age "
                 + ageNanos / PER_MILLI
-                + " ms after the endpoint's start");
+                + " ms of the endpoint");
       }
     }
 
--- a/src/test/java/merlinrouter/gateway/HardLimitTest.java
+++ b/src/test/java/merlinrouter/gateway/HardLimitTest.java
@@ -25,6 +25,7 @@
       forwardedUnits += forwardedUnits(restarted, 100);
     }
     assertTrue(forwardedUnits > 0, "some requests are forwarded");
+    // At most the burst of 32 units, 8 units per second for the 4 s of requests, and 4 units over.
     assertTrue(forwardedUnits <= 32 + 8 * 4 + 4, "forwarded units: " + forwardedUnits);
   }
 
--- a/src/test/java/merlinrouter/gateway/QuotaAdmissionTest.java
+++ b/src/test/java/merlinrouter/gateway/QuotaAdmissionTest.java
@@ -139,7 +139,7 @@
       // The other gateways have used 9 units of 30.
       answerWithOthersUse(host, 9);
     }
-    assertEquals(before, host.rejected.size(), "customer 2 is within its quota");
+    assertEquals(before, host.rejected.size(), "at most 19 of the 30 units of customer 2 are used");
   }
 
   private static void answerWithOthersUse(SimulatedHost host, double othersUnits) {
--- a/src/test/java/merlinrouter/gateway/RetentionTest.java
+++ b/src/test/java/merlinrouter/gateway/RetentionTest.java
@@ -72,7 +72,7 @@
     assertEquals(
         102,
         host.gateway.trackedCustomerAndEndpointCount(),
-        "removed endpoints are kept for a while, since they may return");
+        "removed endpoints are kept for 30 s, since they may be listed again");
     host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
     host.advance(31 * PER_SECOND);
     host.updateEndpoint("b", 0, EndpointState.READY, 0);
--- a/src/test/java/merlinrouter/loadbalancing/SlowStartTest.java
+++ b/src/test/java/merlinrouter/loadbalancing/SlowStartTest.java
@@ -60,7 +60,7 @@
     assertFalse(slowStart.isWarmingUp(cold));
   }
 
-  /** Counts the permitted requests in ten decisions per second on each cold endpoint. */
+  /** Counts the requests permitted in ten decisions per second on each endpoint during warm-up. */
   private int permittedRequests(List<EndpointTracker> coldTrackers, List<EndpointTracker> ready) {
     int permitted = 0;
     for (int step = 0; step < 100; step++) {
--- a/src/test/java/merlinrouter/quota/CustomerPopulation.java
+++ b/src/test/java/merlinrouter/quota/CustomerPopulation.java
@@ -9,7 +9,7 @@
 
 /** Customers of four plans: most use part of their quota, some nearly all of it, some far more. */
 final class CustomerPopulation {
-  /** The plans, small quotas first; forwarding a request over quota costs about its value. */
+  /** The plans, small quotas first; a request over quota costs 0.5 to 1.2 times its value. */
   static final List<QuotaPlan> PLANS =
       List.of(
           new QuotaPlan(0.42, 2, 0, 0.45, 0, 1.2, 0, 0, 0),
--- a/src/test/java/merlinrouter/quota/QuotaFleetTest.java
+++ b/src/test/java/merlinrouter/quota/QuotaFleetTest.java
@@ -24,7 +24,10 @@
   /** Target: cost of traffic over quota, as a fraction of the value offered within the quotas. */
   private static final double MAX_OVER_QUOTA_COST_RATIO = 0.12;
 
-  /** Limit with a counter outage: the highest ratio that is allowed without any outage. */
+  /**
+   * Limit for a run with a counter outage: the bound that must hold without an outage, which is
+   * higher than the target {@link #MAX_OVER_QUOTA_COST_RATIO}.
+   */
   private static final double MAX_OVER_QUOTA_COST_RATIO_WITH_OUTAGE = 0.19;
 
   private static SimulatedQuotaFleet fleet(long seed) {
--- a/src/test/java/merlinrouter/quota/SimulatedCounter.java
+++ b/src/test/java/merlinrouter/quota/SimulatedCounter.java
@@ -13,7 +13,7 @@
     void callEnded(Outcome outcome, double total);
   }
 
-  /** Whether the counter serves calls or does not answer them. */
+  /** State of the counter: it either serves calls or leaves them unanswered. */
   enum State {
     SERVING,
     SILENT
--- a/src/test/java/merlinrouter/quota/SimulatedQuotaFleet.java
+++ b/src/test/java/merlinrouter/quota/SimulatedQuotaFleet.java
@@ -25,7 +25,7 @@
   private static final long COUNTER_TIMEOUT_NANOS = 50 * PER_MILLI;
   private static final long SERVICE_NANOS = 300 * PER_MILLI;
 
-  /** Most retries of a client after rejections. */
+  /** Maximum number of retries of a rejected request by its client. */
   private static final int MAX_RETRIES = 3;
 
   private static final double RETRY_PROBABILITY = 0.8;
@@ -242,16 +242,16 @@
       return number * 7 % gateways.size();
     }
 
-    private void send(int gateway, int tries) {
+    private void send(int gateway, int retries) {
       result.tries++;
       if (forwarded.holds(1)) {
         result.triesWithinQuota++;
       }
-      gateways.get(gateway).request(this, gateway, tries);
+      gateways.get(gateway).request(this, gateway, retries);
     }
 
-    void rejected(int gateway, int tries, double retryAfterSeconds) {
-      if (tries >= MAX_RETRIES || random.nextDouble() > RETRY_PROBABILITY) {
+    void rejected(int gateway, int retries, double retryAfterSeconds) {
+      if (retries >= MAX_RETRIES || random.nextDouble() > RETRY_PROBABILITY) {
         return;
       }
       long waitNanos =
@@ -260,11 +260,11 @@
               (long) (Math.min(MAX_RETRY_AFTER_SECONDS, retryAfterSeconds) * PER_SECOND));
       boolean otherGateway = random.nextDouble() < OTHER_GATEWAY_PROBABILITY;
       int next = otherGateway ? randomGateway() : gateway;
-      events.schedule(events.nowNanos() + waitNanos, () -> send(next, tries + 1));
+      events.schedule(events.nowNanos() + waitNanos, () -> send(next, retries + 1));
     }
   }
 
-  private record Pending(Traffic traffic, int gateway, int tries, QuotaReservation reservation) {}
+  private record Pending(Traffic traffic, int gateway, int retries, QuotaReservation reservation) {}
 
   /** One gateway's quota manager with a minimal simulation of the rest of the gateway. */
   private final class Gateway implements AdmissionListener {
@@ -298,7 +298,7 @@
           });
     }
 
-    void request(Traffic traffic, int gateway, int tries) {
+    void request(Traffic traffic, int gateway, int retries) {
       clock.advanceTo(events.nowNanos());
       String id = "r" + requestCount++;
       ClientRequest request =
@@ -314,7 +314,7 @@
               false);
       QuotaReservation reservation =
           quotas.open(request, settings.requestClasses().get(0), clock.nowNanos() + PER_SECOND);
-      pending.put(id, new Pending(traffic, gateway, tries, reservation));
+      pending.put(id, new Pending(traffic, gateway, retries, reservation));
       quotas.admit(reservation);
     }
 
@@ -329,7 +329,7 @@
       Pending request = pending.remove(reservation.requestId());
       if (random.nextDouble() < shedFraction) {
         reservation.release();
-        request.traffic().rejected(request.gateway(), request.tries(), 0);
+        request.traffic().rejected(request.gateway(), request.retries(), 0);
         return;
       }
       reservation.markForwarded();
@@ -357,7 +357,7 @@
         result.rejectedWithinQuota++;
       }
       reservation.release();
-      request.traffic().rejected(request.gateway(), request.tries(), retryAfterSeconds);
+      request.traffic().rejected(request.gateway(), request.retries(), retryAfterSeconds);
     }
 
     @Override
