--- a/emulator/src/test/java/merlinrouter/emulator/AcceptFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/AcceptFaultTest.java
@@ -22,7 +22,10 @@
 
 /** Tests responses, forwarded timeouts and the shutdown of a node whose calls of accept fail. */
 class AcceptFaultTest extends NodeFaultTestBase {
-  /** Shorter than Netty's pause after a failed accept (1 s). */
+  /**
+   * Shorter than Netty's pause after a failed accept (1 s): a client delayed by the pause would get
+   * its response after the slow one.
+   */
   private static final long SLOW_RESPONSE_MILLIS = 900;
 
   private static final Duration MAX_SHUTDOWN = Duration.ofSeconds(60);
--- a/emulator/src/test/java/merlinrouter/emulator/ConnectFaultTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/ConnectFaultTest.java
@@ -30,9 +30,8 @@
     for (Errno error : List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS)) {
       failNextUpstreamConnection(node, Fault.CONNECT, error);
       String log = node.process().log();
-      // The node logs an endpoint's id only if its response was incomplete, if it became an
-      // outlier,
-      // or if it recovered.
+      // The node logs the id of an endpoint only if the endpoint sent an incomplete response,
+      // became an outlier, or recovered.
       assertFalse(
           log.contains(upstream.id()),
           error + " is a local failure but was attributed to the endpoint: " + log);
--- a/emulator/src/test/java/merlinrouter/emulator/SoakTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/SoakTest.java
@@ -10,7 +10,7 @@
 /** Runs a short soak test with each of several seeds, one of them with crowds of idle clients. */
 @Timeout(300)
 class SoakTest {
-  /** Number of seeds: 1 to 3. */
+  /** Number of seeds; the seeds are 1 to 3. */
   private static final String SEEDS = "3";
 
   /** Allows for a machine that is busy with other work, unlike the option's default. */
--- a/emulator/src/test/java/merlinrouter/emulator/WallClockStepTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/WallClockStepTest.java
@@ -12,7 +12,11 @@
 import merlinrouter.emulator.request.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Tests a node whose wall clock steps, after which new endpoints must still get slow start. */
+/**
+ * Tests a node whose wall clock steps. Endpoints report their start as wall-clock time. If the node
+ * converted it with the clock offset from before a step back by an hour, an endpoint that has just
+ * started would count as started an hour ago and get no slow start.
+ */
 class WallClockStepTest extends NodeFaultTestBase {
   private static final long RESPONSE_DELAY_MILLIS = 10;
   private static final int CLIENTS = 8;
--- a/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/invariant/InvariantCheckerTest.java
@@ -118,6 +118,7 @@
   @Test
   void forwardedTimeoutLongerThanTheRemainingTimeIsReported() {
     RequestRecord request = sentRequest(RequestClass.IDEMPOTENT);
+    // 500 ms remain, and the checker tolerates an excess of 150 ms.
     addAttempt(request, 500, 650, false);
     assertViolates(request);
     addAttempt(request, 500, 651, false);
@@ -144,6 +145,7 @@
   void attemptAtDrainingEndpointIsReportedAfterTheGracePeriod() {
     RequestRecord request = servedRequest(RequestClass.IDEMPOTENT);
     addAttempt(request, 0, TIMEOUT_MILLIS, false);
+    // The grace period is 7.05 s: 6 s for the delivery of the update and 1.05 s after it.
     checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 7));
     assertViolates(request);
     checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 8));
@@ -154,6 +156,8 @@
   void drainingPublishedShortlyBeforeAnOutageCountsFromItsEnd() {
     RequestRecord request = servedRequest(RequestClass.IDEMPOTENT);
     addAttempt(request, 0, TIMEOUT_MILLIS, false);
+    // An update published 20 s before the request is delivered within 6 s, 14 s before the request,
+    // unless an outage starts by then.
     checker.endpointDraining(ENDPOINT_ID, secondsBefore(request, 20));
     checker.discoveryRecovered(secondsBefore(request, 13), secondsBefore(request, 5));
     assertViolates(request, Invariant.NOT_FORWARDED_TO_DRAINING);
--- a/emulator/src/test/java/merlinrouter/emulator/soak/SoakSettingsTest.java
+++ b/emulator/src/test/java/merlinrouter/emulator/soak/SoakSettingsTest.java
@@ -28,6 +28,7 @@
         hard);
   }
 
+  /** 700 ms after the longest deadline: the configured 2.5 s in a hard run, otherwise 3 s. */
   @Test
   void aHardRunKillsAtTheEarliestPermittedTime() {
     assertEquals(Duration.ofMillis(3_700), settings(false).killDelay());
